--- a/redwingpost/agent/exchange.py
+++ b/redwingpost/agent/exchange.py
@@ -33,11 +33,11 @@
 from redwingpost.agent.context import AgentContext
 from redwingpost.configuration.spread import Offer
 from redwingpost.core import GroupView
-from redwingpost.membership.beats import Beat, Evidence
+from redwingpost.membership.beats import Beat, BeatSource
 from redwingpost.membership.dissemination import (
     BeatCursors,
-    Tell,
-    whom_to_tell,
+    NewsOrigin,
+    select_recipients,
 )
 
 #: Seconds one call of an exchange may take. A cut link costs a beat no
@@ -187,7 +187,7 @@
             self._state.merge(
                 beat,
                 at - age_s,
-                Evidence.DIRECT if direct else Evidence.PASSED_ON,
+                BeatSource.DIRECT if direct else BeatSource.RELAYED,
             )
 
     def _hear_of_self(self, beat: Beat) -> None:
@@ -305,31 +305,35 @@
         """
         clock = self._state.confirmation
         if peer.data_centre != self._state.data_centre:
-            clock.reached(peer.data_centre, began_at)
+            clock.note_exchange(peer.data_centre, began_at)
         if digest.confirmed_ms != MAX_AGE_MS:
-            clock.relayed(began_at - from_age_ms(digest.confirmed_ms))
+            clock.note_relayed(began_at - from_age_ms(digest.confirmed_ms))
 
-    def came_from(self, vm: str) -> Tell:
+    def came_from(self, vm: str) -> NewsOrigin:
         """Say where news from a VM came from."""
         member = self._state.members.by_vm.get(vm)
         if member is None:
-            return Tell.HERE
+            return NewsOrigin.LOCAL
         same = member.beat.data_centre == self._state.data_centre
-        return Tell.OWN_DATA_CENTRE if same else Tell.OTHER_DATA_CENTRE
+        return (
+            NewsOrigin.OWN_DATA_CENTRE
+            if same
+            else NewsOrigin.OTHER_DATA_CENTRE
+        )
 
     def announce(self, views: Iterable[GroupView]) -> None:
         """Take in views of groups and tell everyone of new ones."""
         if self._state.observe_views(views):
-            self.spread(Tell.HERE)
+            self.spread(NewsOrigin.LOCAL)
 
-    def spread(self, came: Tell, source: str = "") -> None:
+    def spread(self, came: NewsOrigin, source: str = "") -> None:
         """Tell whoever is to be told that there is news."""
         self._context.spawn(self._spread(came, source))
 
-    async def _spread(self, came: Tell, source: str) -> None:
+    async def _spread(self, came: NewsOrigin, source: str) -> None:
         asked: set[str] = set()
         while True:
-            told = whom_to_tell(
+            told = select_recipients(
                 self._state.members,
                 self._state.vm,
                 self._state.is_relay,
--- a/redwingpost/agent/fleet.py
+++ b/redwingpost/agent/fleet.py
@@ -11,9 +11,9 @@
 from redwingpost.agent.exchange import Exchanger
 from redwingpost.agent.interfaces import FleetServer, LocalServer
 from redwingpost.agent.store_watch import StoreWatch
-from redwingpost.membership.dissemination import Tell
+from redwingpost.membership.dissemination import NewsOrigin
 from redwingpost.membership.relays import relay_of
-from redwingpost.membership.suspicion import BeatSchedule, judge_silence
+from redwingpost.membership.suspicion import BeatSchedule, mark_silent_members
 
 #: Seconds between two looks at what is due at the store.
 STORE_STEP_S = 0.5
@@ -122,7 +122,7 @@
         self._state.beat_again()
         partners = self._partners()
         await gather(*(self.exchanger.exchange(vm) for vm in partners))
-        self._state.members.drop_gone(self._context.clock.now())
+        self._state.members.drop_gone_members(self._context.clock.now())
         if self._state.is_relay:
             self._judge()
         else:
@@ -180,9 +180,11 @@
         now, schedule = self._context.clock.now(), self._schedule()
         if now - self._judging_since < schedule.gone_after_s:
             return
-        gone = judge_silence(self._neighbours(), self._state.vm, schedule, now)
+        gone = mark_silent_members(
+            self._neighbours(), self._state.vm, schedule, now
+        )
         for beat in gone:
             logger.warning("{} is silent and counts as gone", beat.vm)
             self._state.mark_gone(beat)
         if gone:
-            self.exchanger.spread(Tell.HERE)
+            self.exchanger.spread(NewsOrigin.LOCAL)
--- a/redwingpost/agent/interfaces.py
+++ b/redwingpost/agent/interfaces.py
@@ -17,7 +17,7 @@
 from redwingpost.agent.context import AgentContext
 from redwingpost.agent.exchange import Exchanger
 from redwingpost.configuration.spread import Offer
-from redwingpost.membership.dissemination import Tell
+from redwingpost.membership.dissemination import NewsOrigin
 from redwingpost.wire.schema import SCHEMA
 
 #: Longest wait of the feed (seconds), whatever the proxy asks for: the
@@ -98,13 +98,13 @@
         if vm != self._state.vm:
             raise ValueError(f"this is {self._state.vm}, not {vm}")
         self._state.drain()
-        self._exchanger.spread(Tell.HERE)
+        self._exchanger.spread(NewsOrigin.LOCAL)
 
     def _spread(self, _context: Any) -> None:
         # Who called isn't known at this level. Told as if it had arisen
         # here, news reaches everyone; those who know already answer with
         # equal digests.
-        self._exchanger.spread(Tell.HERE)
+        self._exchanger.spread(NewsOrigin.LOCAL)
 
 
 class LocalServer(SCHEMA.Local.Server):
--- a/redwingpost/agent/state.py
+++ b/redwingpost/agent/state.py
@@ -12,10 +12,10 @@
 from redwingpost.configuration.model import Versioned, Withdrawal
 from redwingpost.configuration.spread import ConfigurationState, Offer
 from redwingpost.core import GroupView
-from redwingpost.membership.beats import Beat, Evidence, Member
+from redwingpost.membership.beats import Beat, BeatSource, Member
 from redwingpost.membership.confirmation import ConfirmationClock
 from redwingpost.membership.table import MemberTable
-from redwingpost.membership.views import ViewBoard
+from redwingpost.membership.views import GroupViewTable
 from redwingpost.ports import Clock, VmEntry
 from redwingpost.settings import Settings
 
@@ -56,7 +56,7 @@
         self.clock = clock
         self.configuration = ConfigurationState()
         self.members = MemberTable(settings.vm.name)
-        self.views = ViewBoard()
+        self.views = GroupViewTable()
         self.confirmation = ConfirmationClock(settings.vm.data_centre)
         self.draining = False
         self.stopping = False
@@ -161,21 +161,21 @@
             self._touch("views")
         return new
 
-    def merge(self, beat: Beat, heard_at: float, evidence: Evidence) -> None:
+    def merge(self, beat: Beat, heard_at: float, evidence: BeatSource) -> None:
         """Take in a heartbeat of another VM."""
         if self.members.merge(beat, heard_at, evidence):
             self._touch("peers")
         if beat.relay and not beat.gone:
-            self.members.vouch(beat.data_centre, heard_at)
+            self.members.refresh_data_centre(beat.data_centre, heard_at)
 
     def mark_gone(self, beat: Beat) -> None:
         """Note that a VM of this data centre is gone."""
-        self.merge(beat, float("-inf"), Evidence.PASSED_ON)
+        self.merge(beat, float("-inf"), BeatSource.RELAYED)
 
     def take_list(self, entries: Iterable[VmEntry]) -> None:
         """Lay the platform's list over the members."""
         before = self.members.revision
-        self.members.take_list(entries, self.clock.now())
+        self.members.apply_vm_list(entries, self.clock.now())
         if self.members.revision != before:
             self._touch("peers")
 
--- a/redwingpost/agent/store_watch.py
+++ b/redwingpost/agent/store_watch.py
@@ -17,7 +17,7 @@
 from redwingpost.configuration.spread import Offer
 from redwingpost.core import Code
 from redwingpost.leases.keeper import LeaseKeeper, LeaseStep
-from redwingpost.membership.dissemination import Tell
+from redwingpost.membership.dissemination import NewsOrigin
 from redwingpost.membership.relays import RelayRole, relay_of
 from redwingpost.membership.relays import RELAY_LEASE_S
 
@@ -67,7 +67,7 @@
         if role.wants_lease(relay, members):
             await self._keep_lease()
         role = self._role(self._relay())
-        acts = role.acts(self._relay(), members)
+        acts = role.is_active(self._relay(), members)
         self._take_role(acts)
         if acts:
             await self._poll_head()
@@ -121,7 +121,7 @@
         self._state.is_relay = acts
         self._state.beat_again()
         logger.info("relay of {}: {}", self._state.data_centre, acts)
-        self._exchanger.spread(Tell.HERE)
+        self._exchanger.spread(NewsOrigin.LOCAL)
 
     async def _keep_lease(self) -> None:
         now = self._context.clock.now()
@@ -166,7 +166,7 @@
         if row.ok and version > self._state.configuration.version:
             await self._fetch(row.ok)
         if self._state.configuration.version >= version:
-            self._state.confirmation.store_read(now)
+            self._state.confirmation.note_store_read(now)
 
     async def _fetch(self, row) -> None:
         copy = await self._log.fetch(row)
@@ -174,7 +174,7 @@
             return
         offer = self._state.offer(copy.ok)
         if offer is Offer.TAKEN:
-            self._exchanger.spread(Tell.HERE)
+            self._exchanger.spread(NewsOrigin.LOCAL)
         elif offer is Offer.BROKEN:
             logger.error("version {} can't be read", copy.ok.version)
 
--- a/redwingpost/membership/__init__.py
+++ b/redwingpost/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is in the fleet, who relays, and who tells whom."""
+"""Fleet membership: heartbeats, failure detection, relays and gossip."""
--- a/redwingpost/membership/beats.py
+++ b/redwingpost/membership/beats.py
@@ -1,27 +1,28 @@
-"""Heartbeats: what a VM says of itself, and what others make of it."""
+"""Heartbeats between agents, and the member records made from them."""
 
 from enum import Enum
 from typing import NamedTuple
 
 
-class Evidence(Enum):
-    """How a heartbeat came to this VM."""
+class BeatSource(Enum):
+    """How a heartbeat reached this VM."""
 
-    #: From the VM itself.
+    #: Sent by the VM that it describes.
     DIRECT = "direct"
-    #: From another VM that had heard it.
-    PASSED_ON = "passed on"
-    #: From the platform's list: the VM has not been heard at all.
+    #: Passed on by another VM that had received it.
+    RELAYED = "passed on"
+    #: Made from an entry of the platform's list: no heartbeat arrived yet.
     LISTED = "listed"
 
 
 class Beat(NamedTuple):
     """One heartbeat; the higher (incarnation, sequence) wins.
 
-    ``gone`` is the one field that others set: the relay of the VM's data
-    centre no longer hears it. A later sequence of the VM refutes it.
-    ``config_version`` is what the agent holds, ``proxy_version`` what is
-    in force at the VM's proxy.
+    ``gone`` is the only field that other VMs set: the relay of the VM's
+    data centre receives no heartbeats from it any more. A heartbeat of
+    the VM with a higher sequence overrides it. ``config_version`` is the
+    version that the agent holds, ``proxy_version`` the one in force at
+    the VM's proxy.
     """
 
     vm: str
@@ -42,7 +43,7 @@
 
     @property
     def order(self) -> tuple[int, int, bool]:
-        """What decides which of two heartbeats of a VM is later.
+        """Sort key: the later of two heartbeats of a VM has the higher.
 
         Examples
         --------
@@ -55,12 +56,12 @@
         return (self.incarnation, self.sequence, self.gone)
 
     @property
-    def substance(self) -> tuple:
-        """What the rest of the fleet must hear of when it changes.
+    def propagated_fields(self) -> tuple:
+        """Fields whose changes are sent to the whole fleet.
 
-        The sequence isn't among it, nor the version: at 1,000 VMs and
-        2,900 changes of configuration a day they would fill the links
-        between data centres (``docs/CAPACITY.md``).
+        The sequence and the configuration version are left out: at 1,000
+        VMs and 2,900 changes of configuration a day they would fill the
+        links between data centres (``docs/CAPACITY.md``).
         """
         return (
             self.incarnation,
@@ -74,17 +75,18 @@
 
 
 class Member(NamedTuple):
-    """A VM as this one knows it; times are seconds on its own clock.
+    """This VM's record of a VM; times are seconds on its own clock.
 
-    ``heard_at`` is when the VM was last known to be alive,
-    ``revision`` the table's count when its substance last changed.
+    ``last_seen_at`` is when the VM was last known to be alive, ``revision``
+    the table's revision when its propagated fields last changed.
+    ``listed`` says whether the platform's list holds the VM.
     """
 
     beat: Beat
-    heard_at: float
+    last_seen_at: float
     revision: int
     listed: bool
 
     def silent_s(self, now: float) -> float:
-        """Return for how long the VM has not been known to be alive."""
-        return now - self.heard_at
+        """Return the time since the VM was last known to be alive."""
+        return now - self.last_seen_at
--- a/redwingpost/membership/centres.py
+++ b/redwingpost/membership/centres.py
@@ -1,37 +1,38 @@
-"""Whether a whole data centre is out of reach.
+"""Detection of the loss of a whole data centre.
 
 Load pattern: a data centre is cut off or loses power while callers go on.
-Everything there falls silent at the same moment. A single silent member
+All its members stop answering at the same moment. A single silent member
 may be slow or have lost an answer, so it gets a second before another
-primary takes its place, and the callers of its group wait for that.
-Several members at once, in one place, while others answer, are no
-coincidence: a VM may act after little more than half of that time.
+primary takes its place, and the callers of its group wait for that. If
+several members of one data centre stop answering at once while others
+answer, this is hardly chance: a VM may act after little more than half
+of that time.
 
-A VM that was suspended finds everybody silent when it wakes. So a data
-centre counts as lost only while another one answers.
+A VM that was suspended finds all members silent when it resumes. So a
+data centre counts as lost only while another one answers.
 """
 
 from typing import NamedTuple
 
-#: Seconds that a statement or a question may wait before it speaks for a
-#: loss: hardly any takes longer where all is well. A data centre that is
-#: silent as long and keeps one waiting has its other members asked, so
-#: that nobody must wait until callers happen to need them.
-AWAITED_S = 0.2
+#: Seconds without an answer after which a statement or a probe counts as
+#: evidence of a loss: hardly any takes longer in normal operation. Once a
+#: data centre has been silent as long and one is overdue there, its other
+#: members are probed, so that detection doesn't wait for callers' traffic.
+OVERDUE_AFTER_S = 0.2
 
-#: Members that must keep this VM waiting: one alone may be slow.
-LEAST_AWAITED = 2
+#: Members with an overdue answer that make a loss: one alone may be slow.
+MIN_OVERDUE_MEMBERS = 2
 
 #: Seconds within which another data centre must have answered: at ten
-#: statements a second and VM an answer comes every tenth of a second.
-ALIVE_S = 0.4
+#: statements a second and VM, an answer arrives every tenth of a second.
+ALIVE_WITHIN_S = 0.4
 
 
 class MemberHealth(NamedTuple):
-    """What one member's answers say; times are seconds.
+    """How promptly one member answers this VM; times are seconds.
 
-    ``answered_s`` since its last answer, ``awaited_s`` for how long
-    something sent there has waited in vain (0 where nothing does).
+    ``answered_s`` is the time since its last answer, ``awaited_s`` the
+    age of the oldest unanswered statement or probe (0 for none).
     """
 
     data_centre: str
@@ -41,11 +42,11 @@
 
 class _Centre(NamedTuple):
     silent_s: float
-    awaited: int
+    overdue: int
 
 
 class CentreWatch:
-    """Which data centres answer, as one VM sees them.
+    """Tracks which data centres answer one VM.
 
     Parameters
     ----------
@@ -57,7 +58,7 @@
     >>> watch = CentreWatch("a")
     >>> near = MemberHealth("a", 0.1, 0.0)
     >>> far = MemberHealth("b", 0.7, 0.5)
-    >>> watch.take((near, far, far))
+    >>> watch.update((near, far, far))
     >>> watch.lost_s("b"), watch.lost_s("a")
     (0.7, 0.0)
     """
@@ -66,25 +67,25 @@
         self._own = own
         self._centre_by_name: dict[str, _Centre] = {}
 
-    def take(self, members: tuple[MemberHealth, ...]) -> None:
-        """Take in what all members answer."""
+    def update(self, members: tuple[MemberHealth, ...]) -> None:
+        """Replace the health of all members."""
         members_by_centre: dict[str, list[MemberHealth]] = {}
         for member in members:
             members_by_centre.setdefault(member.data_centre, []).append(member)
         self._centre_by_name = {
             name: _Centre(
                 min(member.answered_s for member in found),
-                sum(member.awaited_s >= AWAITED_S for member in found),
+                sum(member.awaited_s >= OVERDUE_AFTER_S for member in found),
             )
             for name, found in members_by_centre.items()
         }
 
     def is_suspect(self, centre: str) -> bool:
-        """Say whether all members there should be asked."""
+        """Return whether all members of a data centre should be probed."""
         found = self._centre_by_name.get(centre)
-        if found is None or found.awaited == 0:
+        if found is None or found.overdue == 0:
             return False
-        return found.silent_s >= AWAITED_S
+        return found.silent_s >= OVERDUE_AFTER_S
 
     def lost_s(self, centre: str) -> float:
         """Return for how long a data centre has been lost (seconds).
@@ -92,13 +93,14 @@
         Returns
         -------
         float
-            Zero while it may just be a slow member, or this VM.
+            Zero while a slow member or a pause of this VM may explain
+            the silence.
         """
         found = self._centre_by_name.get(centre)
-        if found is None or found.awaited < LEAST_AWAITED:
+        if found is None or found.overdue < MIN_OVERDUE_MEMBERS:
             return 0.0
         others_answer = any(
-            other.silent_s <= ALIVE_S
+            other.silent_s <= ALIVE_WITHIN_S
             for name, other in self._centre_by_name.items()
             if name != centre
         )
@@ -110,8 +112,8 @@
         Returns
         -------
         float
-            Seconds; zero where nothing speaks for it. Short while
-            another answers.
+            Seconds since another data centre last answered; zero without
+            evidence that this VM is cut off.
         """
         others = [
             found
@@ -119,8 +121,8 @@
             if name != self._own
         ]
         own = self._centre_by_name.get(self._own)
-        if not others or own is None or own.silent_s > ALIVE_S:
+        if not others or own is None or own.silent_s > ALIVE_WITHIN_S:
             return 0.0
-        if sum(found.awaited for found in others) < LEAST_AWAITED:
+        if sum(found.overdue for found in others) < MIN_OVERDUE_MEMBERS:
             return 0.0
         return min(found.silent_s for found in others)
--- a/redwingpost/membership/confirmation.py
+++ b/redwingpost/membership/confirmation.py
@@ -1,18 +1,18 @@
-"""Until when this VM's knowledge of withdrawn keys is confirmed.
+"""Up to what time this VM's list of withdrawn keys is confirmed complete.
 
-Answers a VM or data centre that is cut off: a withdrawal accepted
-elsewhere can't reach it. Knowledge is confirmed by a read of the store,
-or by an exchange with a majority of the data centres: a withdrawal is
-accepted by an agent of some data centre and spreads from there to every
-data centre it can reach. Without the second way a long outage of the
-store alone would stop the whole fleet.
+Guards against a VM or data centre that is cut off: a withdrawal accepted
+elsewhere can't reach it, and it would go on serving the key. The list is
+confirmed by a read of the store, or by exchanges with a majority of the
+data centres: a withdrawal is accepted by an agent of some data centre and
+spreads from there to every data centre it can reach. Without the second
+way a long outage of the store alone would stop the whole fleet.
 """
 
 from collections.abc import Collection
 
 
 class ConfirmationClock:
-    """When withdrawals were last confirmed (seconds, own clock).
+    """Tracks when withdrawals were last confirmed (seconds, own clock).
 
     Parameters
     ----------
@@ -22,10 +22,10 @@
     Examples
     --------
     >>> clock = ConfirmationClock("lima-1")
-    >>> clock.reached("lima-2", at=10.0)
+    >>> clock.note_exchange("lima-2", at=10.0)
     >>> clock.confirmed_at({"lima-1", "lima-2", "lima-3"}, now=12.0)
     10.0
-    >>> clock.store_read(at=11.0)
+    >>> clock.note_store_read(at=11.0)
     >>> clock.confirmed_at({"lima-1", "lima-2", "lima-3"}, now=12.0)
     11.0
     """
@@ -35,29 +35,29 @@
         self._confirmed_at = float("-inf")
         self._reached_at_by_data_centre: dict[str, float] = {}
 
-    def store_read(self, at: float) -> None:
+    def note_store_read(self, at: float) -> None:
         """Note a read of the store that was sent at ``at``."""
         self._confirmed_at = max(self._confirmed_at, at)
 
-    def relayed(self, at: float) -> None:
-        """Note that another VM's knowledge was confirmed at ``at``."""
+    def note_relayed(self, at: float) -> None:
+        """Note a confirmation at ``at`` that another VM passed on."""
         self._confirmed_at = max(self._confirmed_at, at)
 
-    def reached(self, data_centre: str, at: float) -> None:
-        """Note an exchange with a data centre, begun at ``at``."""
+    def note_exchange(self, data_centre: str, at: float) -> None:
+        """Note an exchange with a data centre that began at ``at``."""
         before = self._reached_at_by_data_centre.get(data_centre, at)
         self._reached_at_by_data_centre[data_centre] = max(before, at)
 
     def confirmed_at(self, data_centres: Collection[str], now: float) -> float:
-        """Return the latest confirmation.
+        """Return the time of the latest confirmation.
 
         Parameters
         ----------
         data_centres : collection of str
-            All that are known; a majority of them must have been
-            reached, this VM's own among them.
+            All known data centres; a majority of them, with this VM's own
+            counted, must have been reached.
         now : float
-            Seconds; when its own data centre was last reached.
+            Seconds; counts as the last exchange with its own data centre.
         """
         times = [
             self._reached_at(data_centre, now)
--- a/redwingpost/membership/digests.py
+++ b/redwingpost/membership/digests.py
@@ -1,4 +1,4 @@
-"""What gatherers told lately, and how much of it still counts."""
+"""The latest digests from gatherers, merged while they are fresh."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -7,17 +7,17 @@
     CellReport,
     Digest,
     MergedHealth,
-    set_number,
+    vm_set_number,
 )
 
-#: Sets of VMs that are kept of each cell: those told by several gatherers,
-#: which may see a VM come and go at slightly different times.
-KEPT_SETS = 16
+#: Sets of VMs kept for each cell, at most. Its gatherers may see a VM join
+#: or leave at slightly different times, so that their sets differ.
+MAX_SETS_PER_CELL = 16
 
 
-class _Told(NamedTuple):
+class _ReceivedDigest(NamedTuple):
     digest: Digest
-    told_at: float
+    received_at: float
 
 
 class DigestTable:
@@ -39,111 +39,119 @@
     """
 
     def __init__(self) -> None:
-        self._told_by_vm: dict[str, _Told] = {}
+        self._received_by_vm: dict[str, _ReceivedDigest] = {}
         self._sets_by_cell: dict[str, dict[int, frozenset[int]]] = {}
-        self._last_sets_by_teller: dict[str, dict[str, frozenset[int]]] = {}
+        self._last_sets_by_gatherer: dict[str, dict[str, frozenset[int]]] = {}
 
     def note(self, digest: Digest, now: float) -> Digest:
-        """Take in a digest; a brief one takes no health back.
+        """Store a digest; after a brief one the previous health stays.
 
         Returns
         -------
         Digest
-            With the VMs of all cells filled in.
+            The digest with the VMs of all cells filled in.
         """
         cells = tuple(
             self._fill_in(report, digest.vm) for report in digest.cells
         )
         digest = digest._replace(cells=cells)
-        known = self._told_by_vm.get(digest.vm)
+        known = self._received_by_vm.get(digest.vm)
         if digest.is_brief and known is not None:
             health = known.digest.health_by_primary
             digest = digest._replace(health_by_primary=health)
-        self._told_by_vm[digest.vm] = _Told(digest, now)
+        self._received_by_vm[digest.vm] = _ReceivedDigest(digest, now)
         return digest
 
-    def _fill_in(self, report: CellReport, teller: str) -> CellReport:
-        """Return a report with its VMs.
+    def _fill_in(self, report: CellReport, gatherer: str) -> CellReport:
+        """Return a report with its set of VMs filled in.
 
-        Where the message that told them was lost, those that the same
-        gatherer told last stand for them. Another gatherer's may lack
-        most of the cell: some VMs may have turned to it only just now.
+        If the message with the set was lost, the last set of the same
+        gatherer is used instead. Another gatherer's set may lack most of
+        the cell, if VMs have only just begun to report to it.
         """
         known = self._sets_by_cell.setdefault(report.cell, {})
-        last_by_cell = self._last_sets_by_teller.setdefault(teller, {})
+        last_by_cell = self._last_sets_by_gatherer.setdefault(gatherer, {})
         vms = report.vms
         if vms is None:
             vms = known.get(report.vms_number)
         if vms is None:
             latest = next(reversed(known.values()), frozenset())
             return report._replace(vms=last_by_cell.get(report.cell, latest))
-        # The set that was used last is the last to be dropped.
+        # Put it last, so that the least recently used set is dropped first.
         known.pop(report.vms_number, None)
         known[report.vms_number] = vms
-        if len(known) > KEPT_SETS:
+        if len(known) > MAX_SETS_PER_CELL:
             del known[next(iter(known))]
         last_by_cell[report.cell] = vms
         return report._replace(vms=vms)
 
-    def clock_of(self, vm: str) -> tuple[int, float] | None:
-        """Return a gatherer's clock and when it told it."""
-        told = self._told_by_vm.get(vm)
-        return None if told is None else (told.digest.clock_ms, told.told_at)
+    def latest_clock(self, vm: str) -> tuple[int, float] | None:
+        """Return a gatherer's clock (ms) and when it was received."""
+        received = self._received_by_vm.get(vm)
+        return (
+            None
+            if received is None
+            else (received.digest.clock_ms, received.received_at)
+        )
 
     def cells(self, now: float, within_s: float) -> tuple[CellReport, ...]:
-        """Return one report on each cell that was heard of lately.
-
-        Its age is that of now.
+        """Return one report on each cell with a fresh report.
 
-        What several gatherers of a cell heard is taken together: VMs that
-        have just left one for another are known to one of them only.
+        Ages are as of now. The reports of several gatherers of a cell are
+        merged: a VM that has just changed its gatherer is in the set of
+        one of them only.
         """
         found_by_cell: dict[str, list[CellReport]] = {}
-        for told in self._told_by_vm.values():
-            passed_ms = int((now - told.told_at) * 1000)
-            for report in told.digest.cells:
+        for received in self._received_by_vm.values():
+            passed_ms = int((now - received.received_at) * 1000)
+            for report in received.digest.cells:
                 age_ms = report.age_ms + passed_ms
                 if age_ms <= within_s * 1000.0:
                     aged = report._replace(age_ms=age_ms)
                     found_by_cell.setdefault(report.cell, []).append(aged)
-        return tuple(_together(found) for found in found_by_cell.values())
+        return tuple(_merge_reports(found) for found in found_by_cell.values())
 
-    def healths(
+    def health_reports(
         self, now: float, within_s: float, is_fleet: bool
     ) -> Iterator[tuple[float, dict[str, MergedHealth]]]:
-        """Return reports on primaries whose VMs differ, with their ages.
+        """Yield reports on primaries from disjoint sets of VMs.
+
+        Each comes with its age in seconds.
 
         Parameters
         ----------
         is_fleet : bool
-            From the youngest digest of the whole fleet; else one from each
-            cell's own gatherers, which a gatherer merges with what its own
-            VMs say.
+            True for the latest digest of the whole fleet; False for one
+            digest from each cell's own gatherers, which a gatherer merges
+            with the heartbeats of its own VMs.
         """
-        young = [
-            told
-            for told in self._told_by_vm.values()
-            if now - told.told_at <= within_s
-            and told.digest.is_fleet == is_fleet
+        fresh = [
+            received
+            for received in self._received_by_vm.values()
+            if now - received.received_at <= within_s
+            and received.digest.is_fleet == is_fleet
         ]
-        young.sort(key=lambda told: told.told_at, reverse=True)
+        fresh.sort(key=lambda received: received.received_at, reverse=True)
         seen: set[str] = set()
-        for told in young:
-            cells = {report.cell for report in told.digest.cells}
+        for received in fresh:
+            cells = {report.cell for report in received.digest.cells}
             if not cells & seen:
                 seen |= cells
-                yield now - told.told_at, told.digest.health_by_primary
+                yield (
+                    now - received.received_at,
+                    received.digest.health_by_primary,
+                )
 
     def forget(self, now: float, after_s: float) -> None:
-        """Drop gatherers that have long told nothing."""
-        for vm, told in tuple(self._told_by_vm.items()):
-            if now - told.told_at > after_s:
-                del self._told_by_vm[vm]
-                self._last_sets_by_teller.pop(vm, None)
+        """Drop gatherers that sent nothing for ``after_s`` seconds."""
+        for vm, received in tuple(self._received_by_vm.items()):
+            if now - received.received_at > after_s:
+                del self._received_by_vm[vm]
+                self._last_sets_by_gatherer.pop(vm, None)
 
 
-def _together(reports: list[CellReport]) -> CellReport:
-    """Return what several gatherers of one cell heard, as one report."""
+def _merge_reports(reports: list[CellReport]) -> CellReport:
+    """Merge the reports of several gatherers of one cell."""
     youngest = min(reports, key=lambda report: report.age_ms)
     newest = max(reports, key=lambda report: report.config_version)
     merged = youngest._replace(
@@ -154,4 +162,4 @@
     if len({report.vms_number for report in reports}) == 1:
         return merged
     vms = frozenset().union(*(report.vms for report in reports))
-    return merged._replace(vms=vms, vms_number=set_number(vms))
+    return merged._replace(vms=vms, vms_number=vm_set_number(vms))
--- a/redwingpost/membership/dissemination.py
+++ b/redwingpost/membership/dissemination.py
@@ -1,12 +1,13 @@
-"""Who tells whom, and how much an exchange of heartbeats carries.
-
-Answers growth: were each VM to tell each other one, 1,000 VMs would send
-a million messages for a change. News goes from where it arose to its
-data centre's relay, from there to the relays of the other data centres
-and to the VMs of its own; each VM sends a bounded number of messages
-whatever the fleet's size, but for the relay's push to its own data
-centre. An exchange carries what changed since the last one and, while
-the two tables differ because a message was lost, a few more in turn.
+"""Gossip: which VMs a change is sent to, and what an exchange carries.
+
+If each VM told each other one, 1,000 VMs would send a million messages
+for a change. Instead a change goes from its VM to the data centre's
+relay, from there to the relays of the other data centres and to the VMs
+of its own. Except for the relay's push to its own data centre, the number
+of messages that a VM sends is bounded whatever the size of the fleet. An
+exchange carries the heartbeats that changed since the last one and, while
+the two tables differ because a message was lost, a few others in
+round-robin order.
 """
 
 from collections.abc import Iterable
@@ -16,54 +17,54 @@
 from redwingpost.membership.relays import relay_of
 from redwingpost.membership.table import MemberTable
 
-#: Heartbeats of one message: changes first, then others in turn. 64
-#: changes bring a new VM up to date on a fleet of 1,000 in 16 exchanges;
-#: 4 in turn are 4 x 100 bytes.
+#: Heartbeats in one message, at most: changes first, then others in
+#: round-robin order. With 64 changes a new VM is up to date on a fleet of
+#: 1,000 after 16 exchanges; 4 others are 4 x 100 bytes.
 MAX_CHANGES = 64
-IN_TURN = 4
+MAX_ROUND_ROBIN = 4
 
 
-class Tell(Enum):
-    """Where news came from."""
+class NewsOrigin(Enum):
+    """Where a change came from."""
 
-    #: It arose here: from an operator, the store, or this VM itself.
-    HERE = "here"
+    #: From this VM itself, the store, or an operator's call to this VM.
+    LOCAL = "here"
     OWN_DATA_CENTRE = "own data centre"
     OTHER_DATA_CENTRE = "other data centre"
 
 
-def whom_to_tell(
+def select_recipients(
     table: MemberTable,
     vm: str,
     is_relay: bool,
-    came: Tell,
+    origin: NewsOrigin,
     source: str = "",
     avoid: frozenset[str] = frozenset(),
 ) -> tuple[str, ...]:
-    """Return the VMs to pass news on to.
+    """Return the VMs to send a change to.
 
     Parameters
     ----------
     table : MemberTable
-        All that are known.
+        All known members.
     vm : str
         This VM.
     is_relay : bool
-        Whether it acts as its data centre's relay.
-    came : Tell
-        Where the news came from.
+        Whether this VM acts as its data centre's relay.
+    origin : NewsOrigin
+        Where the change came from.
     source : str
-        Which VM told it; it isn't told again.
+        The VM that sent the change, which is left out.
     avoid : frozenset of str
         VMs that could not be reached a moment ago. An agent that can't
-        reach its relay does the relay's part for its news itself; for a
-        relay elsewhere that can't be reached, another VM of its data
-        centre is told, which passes the news on there.
+        reach its relay sends the change to the relay's recipients itself.
+        For an unreachable relay of another data centre, another VM there
+        gets the change and passes it on in its data centre.
 
     Returns
     -------
     tuple of str
-        Names of VMs, none twice, neither this one nor the source.
+        Names of VMs without duplicates, this VM and the source left out.
     """
     own = table.by_vm[vm].beat.data_centre
     neighbours = [
@@ -72,17 +73,17 @@
         if not member.beat.gone
     ]
     relay = relay_of(own, table.of_data_centre(own))
-    alone = relay in ("", vm) or relay in avoid
-    told: list[str] = []
-    if came is Tell.OTHER_DATA_CENTRE:
-        told = neighbours
-    elif is_relay or alone:
-        told = neighbours + _relays_elsewhere(table, own, avoid)
-    elif came is Tell.HERE:
-        told = [relay]
+    has_no_relay = relay in ("", vm) or relay in avoid
+    recipients: list[str] = []
+    if origin is NewsOrigin.OTHER_DATA_CENTRE:
+        recipients = neighbours
+    elif is_relay or has_no_relay:
+        recipients = neighbours + _relays_elsewhere(table, own, avoid)
+    elif origin is NewsOrigin.LOCAL:
+        recipients = [relay]
     return tuple(
         name
-        for name in dict.fromkeys(told)
+        for name in dict.fromkeys(recipients)
         if name not in (vm, source) and name not in avoid
     )
 
@@ -98,7 +99,7 @@
 
 
 class BeatCursors:
-    """What each peer has been sent of the member table.
+    """Tracks how much of the member table each peer has been sent.
 
     Examples
     --------
@@ -111,7 +112,7 @@
 
     def __init__(self) -> None:
         self._revision_by_vm: dict[str, int] = {}
-        self._turn_by_vm: dict[str, int] = {}
+        self._next_index_by_vm: dict[str, int] = {}
 
     def next_beats(
         self,
@@ -125,9 +126,10 @@
         Parameters
         ----------
         table : MemberTable
-            What this VM knows.
+            This VM's member table.
         peer : str
-            Whom the message goes to; its own heartbeat isn't among it.
+            The VM that the message goes to; its own heartbeat is left
+            out.
         own : iterable of str
             VMs whose heartbeats go into this message in any case.
         differs : bool
@@ -136,14 +138,14 @@
         chosen = dict.fromkeys(own)
         chosen.update(dict.fromkeys(self._changed(table, peer)))
         if differs:
-            chosen.update(dict.fromkeys(self._in_turn(table, peer)))
+            chosen.update(dict.fromkeys(self._round_robin(table, peer)))
         chosen.pop(peer, None)
         return tuple(
             table.by_vm[vm].beat for vm in chosen if vm in table.by_vm
         )
 
     def rewind(self, peer: str) -> None:
-        """Start over with a peer that was replaced or lost an answer."""
+        """Start again with a peer that was replaced or did not answer."""
         self._revision_by_vm.pop(peer, None)
 
     def _changed(self, table: MemberTable, peer: str) -> list[str]:
@@ -154,17 +156,22 @@
         )[:MAX_CHANGES]
         if changed:
             self._revision_by_vm[peer] = changed[-1].revision
-        return [member.beat.vm for member in changed if _was_heard(member)]
+        return [member.beat.vm for member in changed if _has_heartbeat(member)]
 
-    def _in_turn(self, table: MemberTable, peer: str) -> list[str]:
-        vms = [vm for vm, m in sorted(table.by_vm.items()) if _was_heard(m)]
+    def _round_robin(self, table: MemberTable, peer: str) -> list[str]:
+        vms = [
+            vm for vm, m in sorted(table.by_vm.items()) if _has_heartbeat(m)
+        ]
         if not vms:
             return []
-        start = self._turn_by_vm.get(peer, 0) % len(vms)
-        self._turn_by_vm[peer] = start + IN_TURN
-        return (vms + vms)[start : start + min(IN_TURN, len(vms))]
+        start = self._next_index_by_vm.get(peer, 0) % len(vms)
+        self._next_index_by_vm[peer] = start + MAX_ROUND_ROBIN
+        return (vms + vms)[start : start + min(MAX_ROUND_ROBIN, len(vms))]
 
 
-def _was_heard(member: Member) -> bool:
-    """Listed VMs aren't passed on: each VM may read its own list."""
+def _has_heartbeat(member: Member) -> bool:
+    """Return whether a heartbeat of the VM has arrived.
+
+    VMs that are only listed aren't passed on: each VM can read the list.
+    """
     return member.beat.incarnation > 0
--- a/redwingpost/membership/gathering.py
+++ b/redwingpost/membership/gathering.py
@@ -1,25 +1,28 @@
-"""Who gathers heartbeats, so that each VM sends and takes in few of them.
+"""Selection of gatherers, which limits the heartbeats that a VM handles.
 
-Load pattern: a fleet of hundreds of VMs on small machines. Told each to
-each, heartbeats are the square of their number: at 200 VMs each takes in
-800 a second, does nothing else, and callers wait.
+Load pattern: a fleet of hundreds of small VMs. If each VM sends heartbeats
+to each other, their number grows with the square of the number of VMs: at
+200 VMs each receives 800 a second, has no time for anything else, and
+callers wait.
 
-So a data centre's VMs report to a few *gatherers* among them. A gatherer
-tells the gatherers of all other places what its VMs say, and its VMs what
-all say. A VM sends and takes in ``GATHERERS`` datagrams a heartbeat, a
+So the VMs of a data centre report to a few *gatherers* among them. A
+gatherer sends a digest of its VMs' heartbeats to the gatherers of all
+other data centres, and a digest of the whole fleet to its VMs. Per
+heartbeat interval a VM sends and receives ``GATHERERS`` datagrams, a
 gatherer one for each VM of its cell and ``GATHERERS`` for each other
-cell. A large data centre is divided into cells of at most ``CELL_VMS``,
-which treat each other like data centres.
-
-Nobody is appointed. Every VM ranks the VMs of a cell in the same order and
-turns to the first that answer; who is turned to gathers. A gatherer that
-dies, is suspended, cut off or stopped is left after ``SUSPECT_AFTER_S``,
-and meanwhile the other one has told everything. A VM that hears no other
-finds itself to be the first. Two that gather without need cost some
-datagrams and nothing else, since all that they tell merges the same.
-
-A small fleet needs none of it: where that is no more work, each tells each
-(``is_direct_cheaper``), which is one step less for whatever is told.
+cell. A large data centre is divided into cells of at most ``CELL_VMS``
+VMs on average, which treat each other like data centres.
+
+There is no election. Every VM ranks the VMs of a cell in the same order
+and reports to the first ones that answer; a VM that gets reports gathers.
+A gatherer that dies, is suspended, cut off or stopped is replaced after
+``SUSPECT_AFTER_S``, and until then the other gatherer has sent everything.
+A VM that receives nothing from any other VM ranks itself first. An
+unneeded gatherer only costs some datagrams, since merging its digests
+changes nothing.
+
+In a small fleet, where it is no more work, each VM sends heartbeats to
+each other directly (``is_direct_cheaper``), which saves one hop.
 """
 
 from collections.abc import Iterable
@@ -27,34 +30,35 @@
 from redwingpost.membership.heartbeat import VmAddress, vm_number
 from redwingpost.membership.ranking import rank_vms
 
-#: Gatherers of a cell: one more than must be there.
+#: Gatherers of a cell: one more than needed, so that one may fail.
 GATHERERS = 2
 
-#: Heartbeats that are as much work as a gatherer's digest, for who packs
-#: and for who reads it.
+#: Cost of a gatherer's digest in heartbeats, for its sender as for its
+#: reader.
 DIGEST_WEIGHT = 3
 
-#: VMs of a cell, at most: what a gatherer of half a core tells within a
-#: few percent of its time.
+#: Average number of VMs of a cell, at most: as many as a gatherer with
+#: half a core can serve in a few percent of its time.
 CELL_VMS = 48
 
-#: Seconds without an answer after which a gatherer is left for the next:
-#: two heartbeats, and the way of one.
+#: Seconds without an answer after which a gatherer is suspected and the
+#: next one is used: two heartbeat intervals and the latency of a datagram.
 SUSPECT_AFTER_S = 0.6
 
-#: Seconds for which it is left before it is tried again.
+#: Seconds for which a suspected gatherer is skipped before it is retried.
 RETRY_S = 2.0
 
-#: Seconds within which a VM reported that counts as reporting.
-REPORTS_S = 1.0
+#: Seconds without a report after which a VM no longer counts as reporting
+#: to this one; the same for the digests of a gatherer.
+REPORT_TIMEOUT_S = 1.0
 
-#: Seconds without a word of its own cell after which a VM gathers for
-#: itself: two gatherers after each other have been silent by then.
-ALONE_S = 2 * SUSPECT_AFTER_S
+#: Seconds without a message from its own cell after which a VM gathers for
+#: itself: by then two gatherers in succession have been silent.
+ISOLATED_AFTER_S = 2 * SUSPECT_AFTER_S
 
 
 class Cells:
-    """VMs by cell, in the order in which they are turned to.
+    """The listed VMs by cell, ranked by preference as gatherers.
 
     Examples
     --------
@@ -90,15 +94,15 @@
         }
 
     def cell_of(self, vm: str) -> str | None:
-        """Return a VM's cell; None while it isn't listed."""
+        """Return the name of a VM's cell; None while it isn't listed."""
         return self._cell_by_vm.get(vm)
 
     def names(self) -> tuple[str, ...]:
-        """Return all cells."""
+        """Return the names of all cells."""
         return tuple(self._ranked_by_cell)
 
     def ranked(self, cell: str) -> tuple[str, ...]:
-        """Return a cell's VMs, the one to turn to at the front."""
+        """Return a cell's VMs, the preferred gatherer first."""
         return self._ranked_by_cell.get(cell, ())
 
 
@@ -107,12 +111,12 @@
 
 
 def is_direct_cheaper(vms: int, cells: int) -> bool:
-    """Say whether VMs should tell each other each to each.
+    """Return whether direct heartbeats cost no more than gatherers.
 
     Parameters
     ----------
     vms, cells : int
-        How many there are.
+        Number of VMs and of cells in the fleet.
 
     Examples
     --------
@@ -126,16 +130,16 @@
     return vms * (vms - 1) <= DIGEST_WEIGHT * (reports + between)
 
 
-class Suspicions:
-    """VMs that were told something and say nothing.
+class FailureDetector:
+    """Suspects VMs that don't answer messages.
 
     Examples
     --------
-    >>> suspicions = Suspicions()
-    >>> suspicions.note_sent("a", now=1.0)
-    >>> suspicions.is_suspect("a", now=1.5), suspicions.is_suspect("a", 1.6)
+    >>> detector = FailureDetector()
+    >>> detector.note_sent("a", now=1.0)
+    >>> detector.is_suspect("a", now=1.5), detector.is_suspect("a", 1.6)
     (False, True)
-    >>> suspicions.note_heard("a"), suspicions.is_suspect("a", now=1.7)
+    >>> detector.note_received("a"), detector.is_suspect("a", now=1.7)
     (True, False)
     """
 
@@ -144,16 +148,16 @@
         self._suspect_until: dict[str, float] = {}
 
     def note_sent(self, vm: str, now: float) -> None:
-        """Note that a VM was told something and should answer."""
+        """Note that a VM was sent a message and should answer."""
         self._unanswered_since.setdefault(vm, now)
 
-    def note_heard(self, vm: str) -> bool:
-        """Note that a VM was heard; say whether it had been left."""
+    def note_received(self, vm: str) -> bool:
+        """Note a message from a VM; return whether it was suspected."""
         self._unanswered_since.pop(vm, None)
         return self._suspect_until.pop(vm, None) is not None
 
     def is_suspect(self, vm: str, now: float) -> bool:
-        """Say whether a VM should be left for another."""
+        """Return whether a VM is suspected and another should be used."""
         if now < self._suspect_until.get(vm, now):
             return True
         since = self._unanswered_since.get(vm)
@@ -163,14 +167,14 @@
         self._suspect_until[vm] = now + RETRY_S
         return True
 
-    def forgive(self, vms: Iterable[str]) -> None:
-        """Let VMs be tried again at once."""
+    def clear_suspicions(self, vms: Iterable[str]) -> None:
+        """Let VMs be used again at once."""
         for vm in vms:
-            self.note_heard(vm)
+            self.note_received(vm)
 
 
 class Gathering:
-    """Whom one VM tells what, as it sees the fleet.
+    """Selects the VMs that one VM exchanges heartbeats and digests with.
 
     Parameters
     ----------
@@ -181,28 +185,28 @@
     def __init__(self, vm: str) -> None:
         self._vm = vm
         self._cells = Cells()
-        self._suspicions = Suspicions()
+        self._failure_detector = FailureDetector()
         self._address_by_vm: dict[str, VmAddress] = {}
         self._is_direct = True
         self.has_list = False
-        #: Whether this VM wasn't on the list as it was first read.
+        #: Whether this VM was missing from the list when first read.
         self.is_new = False
-        self._near_heard_at: float | None = None
-        self._reported_at: dict[str, float] = {}
-        self._gathers_at: dict[str, float] = {}
+        self._own_cell_received_at: float | None = None
+        self._report_at_by_vm: dict[str, float] = {}
+        self._digest_at_by_vm: dict[str, float] = {}
 
     @property
     def cell(self) -> str | None:
-        """Return this VM's cell; None while it isn't listed itself."""
+        """The name of this VM's cell; None while it isn't listed."""
         return self._cells.cell_of(self._vm)
 
     @property
     def is_direct(self) -> bool:
-        """Return whether the fleet is small enough to do without."""
+        """Whether heartbeats go to all VMs directly, without gatherers."""
         return self.cell is None or self._is_direct
 
     def set_listed(self, addresses: tuple[VmAddress, ...]) -> None:
-        """Take in the list of VMs."""
+        """Apply the list of VMs."""
         if not self.has_list:
             self.is_new = all(item.vm != self._vm for item in addresses)
         self.has_list = True
@@ -212,91 +216,102 @@
         self._is_direct = is_direct_cheaper(len(addresses), cells)
 
     def note_report(self, vm: str, now: float) -> None:
-        """Take in that a VM reported here."""
-        self._note_heard(vm, now)
-        self._reported_at[vm] = now
+        """Note that a VM reported to this one."""
+        self._note_received(vm, now)
+        self._report_at_by_vm[vm] = now
 
     def note_digest(self, vm: str, now: float) -> None:
-        """Take in that a gatherer told what it has."""
-        self._note_heard(vm, now)
-        self._gathers_at[vm] = now
+        """Note a digest from a gatherer."""
+        self._note_received(vm, now)
+        self._digest_at_by_vm[vm] = now
 
     def note_sent(self, vms: Iterable[str], now: float) -> None:
-        """Note whom this VM has told something."""
+        """Note that this VM sent messages to others."""
         for vm in vms:
-            self._suspicions.note_sent(vm, now)
+            self._failure_detector.note_sent(vm, now)
 
     def gathers(self, now: float) -> bool:
-        """Say whether this VM gathers for others, or for itself alone."""
-        if self._vm in self._own(now) or self.reporters(now):
+        """Return whether this VM gathers for others, or for itself alone."""
+        if self._vm in self._own_gatherers(now) or self.reporters(now):
             return True
-        # Counted from the first time that this is asked.
-        if self._near_heard_at is None:
-            self._near_heard_at = now
-        return now - self._near_heard_at > ALONE_S
+        # The time without messages starts with the first call.
+        if self._own_cell_received_at is None:
+            self._own_cell_received_at = now
+        return now - self._own_cell_received_at > ISOLATED_AFTER_S
 
     def reporters(self, now: float) -> tuple[VmAddress, ...]:
-        """Return the VMs that this one tells what all say."""
+        """Return the VMs that get this one's digest of the fleet."""
         return self._addresses(
-            vm for vm, at in self._reported_at.items() if now - at <= REPORTS_S
+            vm
+            for vm, at in self._report_at_by_vm.items()
+            if now - at <= REPORT_TIMEOUT_S
         )
 
     def gatherers(self, now: float) -> tuple[VmAddress, ...]:
-        """Return whom this VM reports to, the first first.
+        """Return the VMs that this one reports to, by preference.
 
-        Those that rank first are told even while they are left for others:
-        a VM whose cut has healed is back with its neighbours at once.
+        Those that rank first get reports even while they are suspected,
+        so that after a partition heals the VM is back in its cell at once.
         """
-        wanted = dict.fromkeys((*self._own(now), *self._top(self.cell or "")))
+        wanted = dict.fromkeys(
+            (*self._own_gatherers(now), *self._first_ranked(self.cell or ""))
+        )
         wanted.pop(self._vm, None)
         return self._addresses(wanted)
 
-    def far_gatherers(self, now: float) -> tuple[VmAddress, ...]:
+    def other_cell_gatherers(self, now: float) -> tuple[VmAddress, ...]:
         """Return the gatherers of the other cells.
 
-        Besides those that rank first, any that have just told something:
-        they may see another list.
+        Besides those that rank first, these are all that sent a digest
+        recently: their list of VMs may differ from this VM's.
         """
         wanted = dict.fromkeys(
             vm
             for cell in self._cells.names()
             if cell != self.cell
-            for vm in (*self._chosen(cell, now), *self._top(cell))
+            for vm in (
+                *self._select_gatherers(cell, now),
+                *self._first_ranked(cell),
+            )
         )
-        for vm, at in self._gathers_at.items():
-            if now - at <= REPORTS_S and self._cells.cell_of(vm) != self.cell:
+        for vm, at in self._digest_at_by_vm.items():
+            if (
+                now - at <= REPORT_TIMEOUT_S
+                and self._cells.cell_of(vm) != self.cell
+            ):
                 wanted[vm] = None
         return self._addresses(wanted)
 
-    def _top(self, cell: str) -> tuple[str, ...]:
+    def _first_ranked(self, cell: str) -> tuple[str, ...]:
         return self._cells.ranked(cell)[:GATHERERS]
 
-    def _own(self, now: float) -> tuple[str, ...]:
-        return self._chosen(self.cell or "", now)
+    def _own_gatherers(self, now: float) -> tuple[str, ...]:
+        return self._select_gatherers(self.cell or "", now)
 
-    def _chosen(self, cell: str, now: float) -> tuple[str, ...]:
+    def _select_gatherers(self, cell: str, now: float) -> tuple[str, ...]:
         chosen = []
         for vm in self._cells.ranked(cell):
-            if vm != self._vm and self._suspicions.is_suspect(vm, now):
+            if vm != self._vm and self._failure_detector.is_suspect(vm, now):
                 continue
             chosen.append(vm)
             if len(chosen) == GATHERERS:
                 break
         return tuple(chosen)
 
-    def _note_heard(self, vm: str, now: float) -> None:
-        """Trust a VM; its whole cell if it had been left itself.
+    def _note_received(self, vm: str, now: float) -> None:
+        """Clear the suspicion of a VM and, if it was suspected, its cell.
 
-        A cut that has healed shows first in whoever is heard first. Left
-        aside until their time is over, the others would be missing in
-        what this VM knows of the fleet for two seconds more.
+        The first message after a partition shows that it has healed. If
+        the other VMs of the cell stayed suspected until ``RETRY_S`` is
+        over, they would be missing from this VM's view of the fleet for
+        two seconds more.
         """
         cell = self._cells.cell_of(vm)
         if cell is not None and cell == self.cell:
-            self._near_heard_at = now
-        if not self._suspicions.note_heard(vm):
+            self._own_cell_received_at = now
+        if not self._failure_detector.note_received(vm):
             return
-        self._suspicions.forgive(self._cells.ranked(cell or ""))
+        self._failure_detector.clear_suspicions(self._cells.ranked(cell or ""))
 
     def _addresses(self, vms: Iterable[str]) -> tuple[VmAddress, ...]:
         return tuple(
--- a/redwingpost/membership/heartbeat.py
+++ b/redwingpost/membership/heartbeat.py
@@ -1,4 +1,4 @@
-"""What VMs tell each other: one VM's heartbeat, a gatherer's digest."""
+"""Messages between VMs: a VM's heartbeat and a gatherer's digest."""
 
 from typing import NamedTuple
 
@@ -9,7 +9,7 @@
 
 
 class VmAddress(NamedTuple):
-    """Where a VM's heartbeats arrive, and where it stands."""
+    """The address that receives a VM's heartbeats, and its data centre."""
 
     vm: str
     ip: str
@@ -23,13 +23,13 @@
 
 
 class PrimaryHealth(NamedTuple):
-    """How a primary does by one VM's experience (milliseconds).
+    """A primary's health as one VM observes it (milliseconds).
 
-    ``silent_ms`` since its last answer, ``stuck_ms`` since the first
-    write that waits for it in vain (0 for none), ``acked_ms`` since it
-    last acknowledged a write. ``failing_ms`` is how long whatever was
-    sent to it has failed (0 if nothing has): one that was simply not
-    asked is silent, but doesn't fail.
+    ``silent_ms`` is the time since its last answer, ``stuck_ms`` the age
+    of the oldest unanswered write (0 for none), ``acked_ms`` the time
+    since it last acknowledged a write. ``failing_ms`` is for how long
+    everything sent to it has failed (0 if nothing has): a primary that
+    was sent nothing is silent, but isn't failing.
     """
 
     silent_ms: int
@@ -39,11 +39,11 @@
 
 
 class MergedHealth(NamedTuple):
-    """How a primary does by the experience of several VMs (milliseconds).
+    """A primary's health as several VMs observe it (milliseconds).
 
     The shortest silence, the longest wait of a write, the latest
-    acknowledgement; ``failing_ms`` of each VM to which it fails, and how
-    many VMs there are (``observers``).
+    acknowledgement; ``failing_ms`` of each VM for which the primary
+    fails, and the number of VMs that reported (``observers``).
     """
 
     silent_ms: int
@@ -54,12 +54,12 @@
 
     @classmethod
     def of_one(cls, health: PrimaryHealth) -> "MergedHealth":
-        """Return one VM's report in this form."""
+        """Return one VM's report as a merged report."""
         failing_ms = (health.failing_ms,) if health.failing_ms else ()
         return cls(*health[:3], failing_ms, 1)
 
     def merge(self, other: "MergedHealth") -> "MergedHealth":
-        """Return the report of both; their VMs must differ.
+        """Return the merged report of two disjoint sets of VMs.
 
         Examples
         --------
@@ -78,27 +78,27 @@
 
 
 class Echo(NamedTuple):
-    """A VM's clock as last heard from it, and how long ago that was."""
+    """A VM's clock as last received from it, and how long ago that was."""
 
     clock_ms: int
     held_ms: int
 
-    def left_after(self) -> float:
-        """Return a moment of the reader's clock that it left after (s).
+    def earliest_sent_at(self) -> float:
+        """Return the earliest time it was sent, on the reader's clock (s).
 
-        A datagram may wait at a suspended VM for any time, so its age
-        can't be told from when it is read. The echo of the reader's own
-        clock bounds it from below: samples are never taken for younger
-        than they are.
+        A datagram may wait at a suspended VM for any time, so the time
+        when it is read says nothing about its age. The echo of the
+        reader's own clock is a lower bound of the time when it was sent:
+        samples never count as younger than they are.
         """
         return (self.clock_ms + self.held_ms) / 1000.0
 
 
 class SharedSample(NamedTuple):
-    """A sample of a group's log as another VM took it.
+    """A sample of a group's log position that another VM took.
 
-    ``member`` is the primary it was taken at, ``age_ms`` its age as the
-    message left, at least 1.
+    ``member`` is the primary that was sampled, ``age_ms`` the sample's
+    age when the message was sent, at least 1.
     """
 
     member: str
@@ -107,13 +107,13 @@
 
 
 class Heartbeat(NamedTuple):
-    """What one VM says besides usage.
+    """One VM's heartbeat without its usage counters.
 
-    ``clock_ms`` is the sender's steady clock, ``echo`` the reader's as
-    the sender last heard it. A brief one leaves the health of primaries
-    out, because nothing is wrong with any. ``wants_usages``: the reader
-    is to tell the sender what the others have used. ``is_urgent``: much
-    was admitted lately, and the others must know soon.
+    ``clock_ms`` is the sender's monotonic clock, ``echo`` the reader's
+    clock as the sender last received it. A brief heartbeat leaves the
+    health of primaries out, because all are well. ``wants_usages``: the
+    reader should send the sender the other VMs' usage. ``is_urgent``:
+    much was admitted recently, and the other VMs must know soon.
     """
 
     vm: str
@@ -128,19 +128,20 @@
     wants_usages: bool = False
     is_urgent: bool = False
 
-    def left_after(self) -> float | None:
-        """Return a moment of the reader's clock that this left after (s)."""
-        return None if self.echo is None else self.echo.left_after()
+    def earliest_sent_at(self) -> float | None:
+        """Return the earliest time it was sent, on the reader's clock (s)."""
+        return None if self.echo is None else self.echo.earliest_sent_at()
 
 
 class CellReport(NamedTuple):
-    """What the VMs of one cell say, as a gatherer has it.
-
-    ``vms`` are the numbers of those that it heard, ``age_ms`` how long
-    ago. They change rarely and are most of a digest: None stands for the
-    set that ``vms_number`` was told with before. ``config_version`` is the
-    newest, in force at ``config_ip``; ``reached`` the most primaries that
-    one of the VMs reaches.
+    """A gatherer's summary of the heartbeats of one cell.
+
+    ``vms`` are the numbers of the VMs whose heartbeats it received,
+    ``age_ms`` how long ago. The set changes rarely and is most of a
+    digest: None stands for the set that was sent earlier with the same
+    ``vms_number``. ``config_version`` is the newest version, in force at
+    ``config_ip``; ``reached`` is the highest number of primaries that one
+    of the VMs reaches.
     """
 
     cell: str
@@ -152,18 +153,18 @@
     reached: int
 
 
-def set_number(vms: frozenset[int]) -> int:
+def vm_set_number(vms: frozenset[int]) -> int:
     """Return a short number for a set of VMs, the same at all VMs."""
     return xxh32_intdigest(repr(sorted(vms)).encode())
 
 
 class Digest(NamedTuple):
-    """What a gatherer tells: its own cell, or the whole fleet.
+    """A gatherer's message about its own cell or the whole fleet.
 
-    A digest of the fleet is for the VMs that report to the gatherer. A
-    brief one leaves the health of primaries out. ``echo_by_number`` has
-    the clocks of all readers, so that one datagram serves them all. An
-    urgent one has counters only, which are to be passed on soon.
+    A digest of the fleet goes to the VMs that report to the gatherer. A
+    brief digest leaves the health of primaries out. ``echo_by_number``
+    has the clocks of all readers, so that one datagram serves them all.
+    An urgent digest has only counters, which have to be passed on soon.
     """
 
     vm: str
@@ -179,7 +180,7 @@
     is_urgent: bool = False
 
     def counters_only(self) -> "Digest":
-        """Return the digest for counters that found no place in it."""
+        """Return a digest for those counters that didn't fit into it."""
         return self._replace(
             cells=(),
             health_by_primary={},
@@ -189,5 +190,8 @@
         )
 
     def without_health(self) -> "Digest":
-        """Return the digest for a reader that has the rest elsewhere."""
+        """Return the digest without health and samples of primaries.
+
+        For a reader that gets them in another message.
+        """
         return self._replace(health_by_primary={}, is_brief=True, samples=())
--- a/redwingpost/membership/ranking.py
+++ b/redwingpost/membership/ranking.py
@@ -1,4 +1,4 @@
-"""One order of VMs that all compute alike, without a message."""
+"""Rendezvous hashing: the same order of VMs on every VM, no messages."""
 
 from collections.abc import Iterable
 from hashlib import blake2b
@@ -10,7 +10,8 @@
     Parameters
     ----------
     place : str
-        What they are ranked for, as a data centre; each has another order.
+        What they are ranked for, as a data centre; the order differs
+        from place to place.
     vms : iterable of str
         Their names.
 
--- a/redwingpost/membership/readiness.py
+++ b/redwingpost/membership/readiness.py
@@ -1,33 +1,35 @@
-"""Whether the balancer may send callers to this VM.
+"""Readiness: whether the load balancer may send callers to this VM.
 
 Load pattern: a data centre is cut off while its callers still reach it.
-A VM there can serve next to nothing, but others can; the balancer sends
-callers elsewhere only if the VM says that it isn't ready. A VM must not
-say so when nobody could do better: with all VMs out of rotation callers
-are sent anywhere.
+A VM there can serve hardly any of them, but other VMs can; the balancer
+sends callers elsewhere only if the VM reports that it isn't ready. A VM
+must not report this when no other VM could do better: with all VMs out of
+rotation callers are sent to any of them.
 """
 
 from typing import NamedTuple
 
-#: Seconds that a VM must have been worse off than others before it says
-#: so. Short, since saying so for a moment costs nothing: the balancer asks
-#: once a second and acts on two misses only.
-WORSE_FOR_S = 0.2
+#: Seconds that a VM must have been worse off than others before it reports
+#: that it isn't ready. Short, since a brief report costs nothing: the
+#: balancer checks once a second and acts on two failed checks only.
+WORSE_OFF_FOR_S = 0.2
 
 
-#: Seconds for which only the own data centre may have answered before
-#: this VM says that it is cut off; heartbeats of half of the VMs must be
-#: missing as well. Failing primaries alone show the same later, and callers
-#: stay behind the cut for as long.
+#: Seconds for which only the own data centre has answered until this VM
+#: counts as cut off; heartbeats of half of the VMs must be missing as
+#: well. Failing primaries alone would show the same, but later, and until
+#: then callers would be sent to a VM that is cut off.
 CUT_OFF_S = 0.5
 
 
 class ReadinessInputs(NamedTuple):
-    """What a VM can do, and whether others can do more.
+    """What a VM reaches, and whether other VMs reach more.
 
-    ``reached`` of ``groups`` primaries have answered lately.
-    ``cut_off_s`` is for how long only members of the own data centre
-    have answered; ``hears_half_lately`` counts the last heartbeats only.
+    ``reached`` of the primaries of ``groups`` database groups have
+    answered recently. ``hears_half`` says whether heartbeats of at least
+    half of the VMs are fresh, ``hears_half_lately`` the same with a
+    shorter timeout. ``cut_off_s`` is for how long only members of the own
+    data centre have answered.
     """
 
     has_rules: bool
@@ -41,7 +43,7 @@
 
 
 def is_cut_off(inputs: ReadinessInputs) -> bool:
-    """Say whether nothing outside of the own data centre is reached.
+    """Return whether this VM reaches nothing outside its data centre.
 
     Examples
     --------
@@ -54,7 +56,7 @@
 
 
 def is_worse_off(inputs: ReadinessInputs) -> bool:
-    """Say whether callers would fare better at another VM.
+    """Return whether another VM would serve callers better.
 
     Examples
     --------
@@ -70,36 +72,36 @@
 
 
 class Readiness:
-    """Readiness over time.
+    """Tracks readiness over time, so that a brief failure has no effect.
 
     Examples
     --------
     >>> readiness = Readiness()
     >>> fine = ReadinessInputs(True, False, 3, 3, True, False)
-    >>> readiness.judge(fine, now=0.0)
+    >>> readiness.update(fine, now=0.0)
     True
     >>> cut_off = fine._replace(reached=0, hears_half=False)
-    >>> readiness.judge(cut_off, 1.0), readiness.judge(cut_off, 2.0)
+    >>> readiness.update(cut_off, 1.0), readiness.update(cut_off, 2.0)
     (True, False)
     """
 
     def __init__(self) -> None:
-        self._worse_since: float | None = None
+        self._worse_off_since: float | None = None
 
-    def judge(self, inputs: ReadinessInputs, now: float) -> bool:
+    def update(self, inputs: ReadinessInputs, now: float) -> bool:
         """Return whether to report ready at ``now`` (seconds)."""
         if not inputs.has_rules or inputs.is_stopping:
             return False
         if inputs.groups == 0:
             return False
         if is_cut_off(inputs):
-            # The evidence has its own time. Once it ends, a VM that is
-            # still worse off goes on saying so without a pause.
-            self._worse_since = now - WORSE_FOR_S
+            # ``cut_off_s`` is a delay already. If the VM is still worse off
+            # when the cut-off ends, it stays not ready without a gap.
+            self._worse_off_since = now - WORSE_OFF_FOR_S
             return False
         if not is_worse_off(inputs):
-            self._worse_since = None
+            self._worse_off_since = None
             return True
-        if self._worse_since is None:
-            self._worse_since = now
-        return now - self._worse_since < WORSE_FOR_S
+        if self._worse_off_since is None:
+            self._worse_off_since = now
+        return now - self._worse_off_since < WORSE_OFF_FOR_S
--- a/redwingpost/membership/relays.py
+++ b/redwingpost/membership/relays.py
@@ -1,12 +1,12 @@
-"""Which agent relays for its data centre.
-
-Answers the loss or pause of a relay without anyone's help, and a table
-service that is away while it happens. The role is a lease in the table
-service; while the service is away the holder goes on, and if it falls
-silent its data centre's agents turn to the next by rendezvous rank. Two
-relays at once cost a few messages and nothing else: everything they
-pass on merges the same from two sides. So the role needs no fencing, and
-no agent ever waits for one that is gone.
+"""Election of the agent that relays for its data centre.
+
+Covers the loss or pause of a relay without an operator, also while the
+table service is unavailable. The role is a lease in the table service.
+While the service is unavailable the holder goes on, and if it falls
+silent its data centre's agents use the next by rendezvous rank. Two
+relays at once only cost a few messages, since merging is idempotent:
+whatever both pass on gives the same result. So the role needs no fencing,
+and no agent ever waits for a relay that is gone.
 """
 
 from collections.abc import Collection, Iterable
@@ -15,14 +15,14 @@
 from redwingpost.membership.beats import Member
 from redwingpost.membership.ranking import rank_vms
 
-#: Seconds that the relay's lease lasts. Renewed each third of it, that
-#: is one write in 1.3 s for each data centre: 11 of the store's several
+#: Duration of the relay's lease (seconds). It is renewed at each third,
+#: one write in 1.3 s for each data centre: 11 of the store's several
 #: hundred writes a second at 14 data centres.
 RELAY_LEASE_S = 4.0
 
-#: An agent that could not reach the relay for this long tries to take
-#: the role over. Longer than one heartbeat with its deadline, so that a
-#: single lost call doesn't cost a read of the store.
+#: Seconds for which an agent couldn't reach the relay before it tries to
+#: take the role over. Longer than one heartbeat with its deadline, so
+#: that a single lost call doesn't cost a read of the store.
 TAKE_OVER_AFTER_S = 1.5
 
 
@@ -31,23 +31,23 @@
     members: Iterable[Member],
     avoid: Collection[str] = (),
 ) -> str:
-    """Return the VM to turn to in a data centre.
+    """Return the VM to use as the relay of a data centre.
 
     Parameters
     ----------
     data_centre : str
-        Which one.
+        Name of the data centre.
     members : iterable of Member
         Its members.
     avoid : collection of str
-        VMs that the caller could not reach a moment ago.
+        VMs that the agent could not reach a moment ago.
 
     Returns
     -------
     str
-        The relay as its heartbeat says, the one heard last if several
-        do; else the first by rank that isn't gone; empty if there is
-        none.
+        The member whose heartbeat claims the role, the one last seen
+        alive if several do; else the first by rank that isn't gone, if
+        possible one that isn't draining; empty if there is none.
     """
     usable = [
         member
@@ -56,18 +56,18 @@
     ]
     relays = [member for member in usable if member.beat.relay]
     if relays:
-        return max(relays, key=lambda member: member.heard_at).beat.vm
-    staying = [m for m in usable if not m.beat.draining] or usable
-    ranked = rank_vms(data_centre, (m.beat.vm for m in staying))
+        return max(relays, key=lambda member: member.last_seen_at).beat.vm
+    candidates = [m for m in usable if not m.beat.draining] or usable
+    ranked = rank_vms(data_centre, (m.beat.vm for m in candidates))
     return ranked[0] if ranked else ""
 
 
 class RelayRole(NamedTuple):
-    """What one agent knows when it decides about the role.
+    """One agent's state for its decisions about the relay role.
 
-    ``unreached_s`` is how long the present relay has not answered it;
-    0 while it does. ``store_away`` says that the table service does not
-    answer.
+    ``unreached_s`` is how long the present relay has not answered this
+    agent, 0 while it does. ``store_away`` is true while the table service
+    does not answer.
     """
 
     vm: str
@@ -79,10 +79,10 @@
     unreached_s: float
 
     def wants_lease(self, relay: str, members: Iterable[Member]) -> bool:
-        """Say whether to read and claim the lease's row now.
+        """Return whether to read and claim the lease's row now.
 
-        Only the holder, and the first by rank of those that stay once
-        the relay does not answer, ask the store at all.
+        Only two agents access the store at all: the holder and, once the
+        relay does not answer, the first by rank of the others.
         """
         if self.draining:
             return False
@@ -92,8 +92,8 @@
             return False
         return self._is_next(relay, members)
 
-    def acts(self, relay: str, members: Iterable[Member]) -> bool:
-        """Say whether to do the relay's work now."""
+    def is_active(self, relay: str, members: Iterable[Member]) -> bool:
+        """Return whether to do the relay's work now."""
         if self.holds_lease:
             return True
         if not self.store_away:
--- a/redwingpost/membership/report.py
+++ b/redwingpost/membership/report.py
@@ -1,8 +1,8 @@
-"""Where a version is in force, and why it is not elsewhere.
+"""On which VMs a configuration version is in force, and why not on others.
 
-Answers an operator who has to know whether a change has arrived before
-the next one is made: "it was accepted" is no answer while a VM is cut
-off and serves by an older version.
+An operator has to know whether a change has reached all VMs before making
+the next one. That it was accepted isn't enough: a VM that is cut off goes
+on serving with an older version.
 """
 
 from collections.abc import Iterable
@@ -10,8 +10,8 @@
 
 from redwingpost.membership.beats import Beat
 
-#: A VM unheard for this long may serve by whatever version it had
-#: (seconds): a few heartbeats of a small data centre.
+#: Seconds without a heartbeat after which a VM's reported version may be
+#: outdated: a few heartbeat intervals of a small data centre.
 SILENT_AFTER_S = 5.0
 
 
@@ -32,34 +32,34 @@
 
 
 class Sighting(NamedTuple):
-    """A VM's heartbeat as one agent tells it, and how old it is."""
+    """A VM's heartbeat as reported by one agent, and its age."""
 
     beat: Beat
     silent_s: float
 
 
-def best_sightings(sightings: Iterable[Sighting]) -> dict[str, Sighting]:
-    """Return the latest of several agents' sightings of each VM."""
-    best: dict[str, Sighting] = {}
+def latest_sightings(sightings: Iterable[Sighting]) -> dict[str, Sighting]:
+    """Return the latest sighting of each VM, from several agents'."""
+    latest_by_vm: dict[str, Sighting] = {}
     for sighting in sightings:
         vm = sighting.beat.vm
-        known = best.get(vm)
-        if known is None or _rank(sighting) > _rank(known):
-            best[vm] = sighting
-    return best
+        known = latest_by_vm.get(vm)
+        if known is None or _sort_key(sighting) > _sort_key(known):
+            latest_by_vm[vm] = sighting
+    return latest_by_vm
 
 
-def _rank(sighting: Sighting) -> tuple:
+def _sort_key(sighting: Sighting) -> tuple:
     return (*sighting.beat.order, -sighting.silent_s)
 
 
 def report_vm(sighting: Sighting, version: int) -> VmReport:
-    """Return one VM's line.
+    """Return one VM's line of the status.
 
     Parameters
     ----------
     sighting : Sighting
-        The latest of it.
+        The latest sighting of the VM.
     version : int
         The version that should be in force.
 
@@ -86,11 +86,11 @@
 def _reason(sighting: Sighting, version: int) -> str:
     beat, silent_s = sighting
     if beat.incarnation == 0:
-        return "on the platform's list, but never heard"
+        return "on the platform's list, but no heartbeat received yet"
     if beat.gone:
-        return "gone: its data centre's relay no longer hears it"
+        return "gone: its data centre's relay receives no heartbeats from it"
     if silent_s > SILENT_AFTER_S:
-        return f"not heard for {silent_s:.0f} s: cut off, paused or gone"
+        return f"no heartbeat for {silent_s:.0f} s: cut off, paused or gone"
     if beat.config_version < version:
         return f"the agent holds version {beat.config_version}"
     if not beat.proxy_attached:
--- a/redwingpost/membership/table.py
+++ b/redwingpost/membership/table.py
@@ -1,40 +1,41 @@
-"""The member table: heartbeats merged, the platform's list laid over.
-
-Answers a list that lags by seconds and heartbeats that arrive twice,
-late, over detours or out of order. Merging by (incarnation, sequence)
-gives the same table in whatever order they come; the list only tells
-where a VM that was never heard may be found, and when a silent one can
-be forgotten. Were the list believed over heartbeats, a replaced VM would
-be served its predecessor's traffic for as long as the list lags.
+"""The member table: merged heartbeats and the platform's list of VMs.
+
+Heartbeats may arrive twice, late, relayed or out of order, and the list
+lags by seconds. Merging by (incarnation, sequence) gives the same table
+in any order of arrival. The list only provides the addresses of VMs
+without a heartbeat yet, and tells when a silent VM can be forgotten. If
+the list took precedence over heartbeats, a new VM would get the traffic
+of the VM that it replaced for as long as the list lags.
 """
 
 from collections.abc import Iterable, Mapping
 from zlib import crc32
 
-from redwingpost.membership.beats import Beat, Evidence, Member
+from redwingpost.membership.beats import Beat, BeatSource, Member
 from redwingpost.ports import VmEntry
 
-#: A silent VM that the list no longer holds counts as gone after this
-#: (seconds): longer than the list may lag behind a VM that is new. Gone
-#: VMs are dropped after as long again, by when everyone has heard.
+#: Seconds after which a silent VM that the list no longer holds counts as
+#: gone: longer than the list may lag behind a VM that is new. Gone VMs are
+#: dropped after twice this time without a sign of life; by then every VM
+#: has received the news.
 FORGET_AFTER_S = 60.0
 
 
 class MemberTable:
-    """All VMs that this one knows of, itself included.
+    """All VMs known to this one, itself included.
 
     Parameters
     ----------
     vm : str
-        This VM: what others say of it is never merged.
+        This VM; heartbeats for it from other VMs are never merged.
 
     Examples
     --------
     >>> table = MemberTable("vm-1")
     >>> beat = Beat("vm-2", "lima-1", "127.1.1.2", 1, 2, 7, 1)
-    >>> table.merge(beat, heard_at=5.0, evidence=Evidence.DIRECT)
+    >>> table.merge(beat, seen_at=5.0, source=BeatSource.DIRECT)
     True
-    >>> table.merge(beat, heard_at=5.0, evidence=Evidence.PASSED_ON)
+    >>> table.merge(beat, seen_at=5.0, source=BeatSource.RELAYED)
     False
     """
 
@@ -42,33 +43,33 @@
         self._vm = vm
         self._members_by_vm: dict[str, Member] = {}
         self._listed: frozenset[str] = frozenset()
-        self._missed_since: dict[str, float] = {}
+        self._unlisted_since: dict[str, float] = {}
         self._revision = 0
         self._mark = 0
 
     @property
     def mark(self) -> int:
-        """A 32-bit sum over the members that are there.
+        """A 32-bit checksum over the members that are present.
 
-        Two VMs with equal marks need not send each other anything but
-        their own heartbeats. It is kept up with each change, since
-        summing up 1,000 members at each exchange would cost more than
-        all the rest of it.
+        Two VMs with equal checksums need to exchange only their own
+        heartbeats. It is updated with each change, since summing up
+        1,000 members at each exchange would cost more than the rest of
+        the exchange.
         """
         return self._mark
 
     @property
     def revision(self) -> int:
-        """Grows with each change of substance."""
+        """Counter of the changes of any member's propagated fields."""
         return self._revision
 
     @property
     def by_vm(self) -> Mapping[str, Member]:
-        """The members, by name of their VM."""
+        """The members, by VM name."""
         return self._members_by_vm
 
     def of_data_centre(self, data_centre: str) -> tuple[Member, ...]:
-        """Return the members of one data centre, in order of name."""
+        """Return the members of one data centre, sorted by name."""
         return tuple(
             member
             for _, member in sorted(self._members_by_vm.items())
@@ -82,25 +83,25 @@
         )
 
     def set_own(self, beat: Beat, now: float) -> None:
-        """Put in this VM's own heartbeat."""
+        """Store this VM's own heartbeat."""
         self._store(beat, now)
 
-    def merge(self, beat: Beat, heard_at: float, evidence: Evidence) -> bool:
-        """Take in a heartbeat.
+    def merge(self, beat: Beat, seen_at: float, source: BeatSource) -> bool:
+        """Merge a heartbeat.
 
         Parameters
         ----------
         beat : Beat
             The heartbeat.
-        heard_at : float
+        seen_at : float
             When the VM sent it at the earliest (seconds, own clock).
-        evidence : Evidence
-            How it came here.
+        source : BeatSource
+            How it reached this VM.
 
         Returns
         -------
         bool
-            True if the VM's substance changed.
+            True if the VM's propagated fields changed.
         """
         if beat.vm == self._vm:
             return False
@@ -108,35 +109,36 @@
         if known is None and beat.gone:
             return False
         if known is None or beat.order > known.beat.order:
-            alive = evidence is not Evidence.LISTED and not beat.gone
-            before = known.heard_at if known else float("-inf")
-            heard = max(before, heard_at) if alive else before
-            return self._store(beat, heard)
+            alive = source is not BeatSource.LISTED and not beat.gone
+            before = known.last_seen_at if known else float("-inf")
+            latest = max(before, seen_at) if alive else before
+            return self._store(beat, latest)
         if beat.order == known.beat.order and not beat.gone:
-            heard = max(known.heard_at, heard_at)
-            self._members_by_vm[beat.vm] = known._replace(heard_at=heard)
+            latest = max(known.last_seen_at, seen_at)
+            self._members_by_vm[beat.vm] = known._replace(last_seen_at=latest)
         return False
 
-    def vouch(self, data_centre: str, heard_at: float) -> None:
-        """Note that a data centre's relay was alive at ``heard_at``.
+    def refresh_data_centre(self, data_centre: str, seen_at: float) -> None:
+        """Note that a data centre's relay was alive at ``seen_at``.
 
-        It would have told of members that are gone, so that the others
-        count as alive too, without a heartbeat of each.
+        The relay reports members that are gone, so the others count as
+        alive too, without a heartbeat of each.
         """
         for member in self.of_data_centre(data_centre):
             if member.beat.gone or member.beat.incarnation == 0:
                 continue
             if member.beat.vm != self._vm:
-                heard = max(member.heard_at, heard_at)
+                latest = max(member.last_seen_at, seen_at)
                 self._members_by_vm[member.beat.vm] = member._replace(
-                    heard_at=heard
+                    last_seen_at=latest
                 )
 
-    def take_list(self, entries: Iterable[VmEntry], now: float) -> None:
-        """Lay the platform's list over the table.
+    def apply_vm_list(self, entries: Iterable[VmEntry], now: float) -> None:
+        """Update the table from the platform's list.
 
-        VMs that were never heard become known by their address; silent
-        ones that have been missing from the list for long are gone.
+        Listed VMs that are not in the table are added with their address
+        and no heartbeat. Silent VMs that the list has lacked for
+        ``FORGET_AFTER_S`` are marked gone.
         """
         listed = {entry.vm: entry for entry in entries}
         self._listed = frozenset(listed)
@@ -152,55 +154,58 @@
                     sequence=0,
                     draining=entry.state == "leaving",
                 )
-                self.merge(beat, float("-inf"), Evidence.LISTED)
+                self.merge(beat, float("-inf"), BeatSource.LISTED)
         for vm, member in tuple(self._members_by_vm.items()):
             known = member._replace(listed=vm in self._listed)
             self._members_by_vm[vm] = known
         self._mark_missing(now)
 
-    def drop_gone(self, now: float) -> None:
-        """Drop VMs that have been gone and silent for long."""
+    def drop_gone_members(self, now: float) -> None:
+        """Drop VMs that are gone and have been silent for long."""
         for vm, member in tuple(self._members_by_vm.items()):
-            unheard = member.beat.incarnation == 0 and not member.listed
-            gone = member.beat.gone or unheard
+            unlisted = member.beat.incarnation == 0 and not member.listed
+            gone = member.beat.gone or unlisted
             if gone and member.silent_s(now) > 2 * FORGET_AFTER_S:
                 del self._members_by_vm[vm]
-                self._missed_since.pop(vm, None)
+                self._unlisted_since.pop(vm, None)
 
     def _mark_missing(self, now: float) -> None:
-        """Mark silent VMs gone that the list has lacked for long.
+        """Mark silent VMs as gone that the list has lacked for long.
 
-        It is the only way in which the sole VM of a data centre can be
-        found to be gone: nobody there is left to judge it.
+        Only this detects that the sole VM of a data centre is gone: no
+        relay is left there that could mark it.
         """
         for vm, member in tuple(self._members_by_vm.items()):
             if member.listed or vm == self._vm:
-                self._missed_since.pop(vm, None)
+                self._unlisted_since.pop(vm, None)
                 continue
-            since = self._missed_since.setdefault(vm, now)
+            since = self._unlisted_since.setdefault(vm, now)
             missing_s = min(now - since, member.silent_s(now))
             if missing_s >= FORGET_AFTER_S and not member.beat.gone:
                 gone = member.beat._replace(gone=True, relay=False)
-                self._store(gone, member.heard_at)
+                self._store(gone, member.last_seen_at)
 
-    def _store(self, beat: Beat, heard_at: float) -> bool:
+    def _store(self, beat: Beat, last_seen_at: float) -> bool:
         known = self._members_by_vm.get(beat.vm)
-        changed = known is None or known.beat.substance != beat.substance
+        changed = (
+            known is None
+            or known.beat.propagated_fields != beat.propagated_fields
+        )
         if changed:
             self._revision += 1
-            before = _weight(known.beat) if known else 0
-            self._mark = (self._mark - before + _weight(beat)) % 2**32
+            before = _checksum(known.beat) if known else 0
+            self._mark = (self._mark - before + _checksum(beat)) % 2**32
         self._members_by_vm[beat.vm] = Member(
             beat=beat,
-            heard_at=heard_at,
+            last_seen_at=last_seen_at,
             revision=self._revision if changed else known.revision,
             listed=beat.vm in self._listed,
         )
         return changed
 
 
-def _weight(beat: Beat) -> int:
-    """Return a member's part of the mark; 0 if it isn't there."""
+def _checksum(beat: Beat) -> int:
+    """Return a member's part of the mark; 0 if it isn't present."""
     if beat.gone or beat.incarnation == 0:
         return 0
-    return crc32(f"{beat.vm}|{beat.substance}".encode())
+    return crc32(f"{beat.vm}|{beat.propagated_fields}".encode())
--- a/redwingpost/membership/tests/test_dissemination.py
+++ b/redwingpost/membership/tests/test_dissemination.py
@@ -1,15 +1,15 @@
-"""Tests of who tells whom: everyone hears, and nobody says much."""
+"""Tests of gossip: changes reach all VMs with a bounded load for each."""
 
 from collections import Counter, deque
 from unittest import TestCase
 
-from redwingpost.membership.beats import Beat, Evidence
+from redwingpost.membership.beats import Beat, BeatSource
 from redwingpost.membership.dissemination import (
     BeatCursors,
-    Tell,
-    whom_to_tell,
+    NewsOrigin,
+    select_recipients,
 )
-from redwingpost.membership.dissemination import IN_TURN, MAX_CHANGES
+from redwingpost.membership.dissemination import MAX_CHANGES, MAX_ROUND_ROBIN
 from redwingpost.membership.ranking import rank_vms
 from redwingpost.membership.table import MemberTable
 
@@ -36,49 +36,53 @@
 
 
 def table_of(vm, beats):
-    """Return a member table that knows everyone; "" for nobody's."""
+    """Return a VM's table with all members; "" for no VM's."""
     table = MemberTable(vm)
     if vm:
         table.set_own(beats[vm], 0.0)
     for beat in beats.values():
-        table.merge(beat, 0.0, Evidence.PASSED_ON)
+        table.merge(beat, 0.0, BeatSource.RELAYED)
     return table
 
 
 def spread(beats, origin, dead=frozenset()):
-    """Return who heard of news, how deep, and who sent how many.
+    """Return the hops to each VM reached and the messages of each VM.
 
-    Calls to dead VMs fail, and the sender then asks again whom to tell.
+    Calls to dead VMs fail, and the sender then selects recipients again.
     """
     hops = {origin: 0}
     sent = Counter()
-    queue = deque([(origin, Tell.HERE, "")])
+    queue = deque([(origin, NewsOrigin.LOCAL, "")])
     table = table_of("", beats)
     while queue:
-        vm, came, source = queue.popleft()
-        avoid, asked = frozenset(), set()
+        vm, news_origin, source = queue.popleft()
+        avoid, tried = frozenset(), set()
         while True:
-            told = whom_to_tell(
-                table, vm, beats[vm].relay, came, source, avoid
+            recipients = select_recipients(
+                table, vm, beats[vm].relay, news_origin, source, avoid
             )
-            fresh = [name for name in told if name not in asked]
-            if not fresh:
+            untried = [name for name in recipients if name not in tried]
+            if not untried:
                 break
-            asked.update(fresh)
-            sent[vm] += len(fresh)
-            avoid |= dead.intersection(fresh)
-            for name in fresh:
+            tried.update(untried)
+            sent[vm] += len(untried)
+            avoid |= dead.intersection(untried)
+            for name in untried:
                 if name in dead or name in hops:
                     continue
                 hops[name] = hops[vm] + 1
                 same = beats[name].data_centre == beats[vm].data_centre
-                how = Tell.OWN_DATA_CENTRE if same else Tell.OTHER_DATA_CENTRE
+                how = (
+                    NewsOrigin.OWN_DATA_CENTRE
+                    if same
+                    else NewsOrigin.OTHER_DATA_CENTRE
+                )
                 queue.append((name, how, vm))
     return hops, sent
 
 
-class WhomToTellTest(TestCase):
-    def test_everyone_hears_whoever_begins(self):
+class SelectRecipientsTest(TestCase):
+    def test_a_change_reaches_all_vms(self):
         for size in ((1, 1), (1, 3), (4, 1), (4, 2), (14, 5)):
             beats = fleet(*size)
             for origin in beats:
@@ -87,10 +91,10 @@
                     self.assertEqual(set(hops), set(beats))
                     self.assertLessEqual(max(hops.values()), 3)
 
-    def test_everyone_hears_past_dead_relays(self):
-        # Relays are paused when a key is withdrawn. Their data centres
-        # must hear of it all the same, or the caller stays served there
-        # until the role has moved.
+    def test_a_change_passes_dead_relays(self):
+        # Relays are paused when a key is withdrawn. The withdrawal must
+        # reach their data centres all the same, or the caller is still
+        # served there until another VM has taken the relay role.
         beats = fleet(4, 3)
         relays = [vm for vm, beat in beats.items() if beat.relay]
         for origin in sorted(set(beats) - set(relays)):
@@ -100,10 +104,10 @@
                     self.assertEqual(set(hops), set(beats) - set(dead))
 
     def test_messages_at_a_thousand_vms(self):
-        # Were each VM to tell each other one, a change would cost a
-        # million messages. Here a VM that doesn't relay sends at most
-        # one, a relay as many as its data centre has VMs and the fleet
-        # has data centres.
+        # If each VM told each other one, a change would cost a million
+        # messages. Here a VM that isn't a relay sends at most one, a
+        # relay as many as its data centre has VMs and the fleet has data
+        # centres.
         beats = fleet(14, 72)
         plain = next(vm for vm, beat in beats.items() if not beat.relay)
         hops, sent = spread(beats, plain)
@@ -118,26 +122,30 @@
     def test_messages_stay_bounded_and_bring_everything(self):
         beats = fleet(14, 72)
         table = table_of("vm-0-0", beats)
-        cursors, heard, messages = BeatCursors(), set(), 0
-        while len(heard) < len(beats) - 1:
+        cursors, received, messages = BeatCursors(), set(), 0
+        while len(received) < len(beats) - 1:
             message = cursors.next_beats(table, "vm-0-1", own=["vm-0-0"])
-            self.assertLessEqual(len(message), 1 + MAX_CHANGES + IN_TURN)
-            heard.update(beat.vm for beat in message)
+            self.assertLessEqual(
+                len(message), 1 + MAX_CHANGES + MAX_ROUND_ROBIN
+            )
+            received.update(beat.vm for beat in message)
             messages += 1
         self.assertLessEqual(messages, 16)
 
-    def test_a_lost_message_is_made_good_in_turn(self):
+    def test_a_lost_message_is_repaired_in_turn(self):
         beats = fleet(1, 6)
         table, cursors = table_of("vm-0-0", beats), BeatCursors()
         cursors.next_beats(table, "vm-0-1")
-        heard = set()
+        received = set()
         for _ in range(2):
-            heard.update(b.vm for b in cursors.next_beats(table, "vm-0-1"))
-        self.assertEqual(heard, set(beats) - {"vm-0-1"})
+            received.update(b.vm for b in cursors.next_beats(table, "vm-0-1"))
+        self.assertEqual(received, set(beats) - {"vm-0-1"})
 
-    def test_a_replaced_peer_is_told_everything_again(self):
+    def test_a_replaced_peer_is_sent_everything_again(self):
         table, cursors = table_of("vm-0-0", fleet(2, 6)), BeatCursors()
         cursors.next_beats(table, "vm-0-1")
-        self.assertLessEqual(len(cursors.next_beats(table, "vm-0-1")), IN_TURN)
+        self.assertLessEqual(
+            len(cursors.next_beats(table, "vm-0-1")), MAX_ROUND_ROBIN
+        )
         cursors.rewind("vm-0-1")
         self.assertEqual(len(cursors.next_beats(table, "vm-0-1")), 11)
--- a/redwingpost/membership/tests/test_gathering.py
+++ b/redwingpost/membership/tests/test_gathering.py
@@ -1,13 +1,13 @@
-"""Who gathers heartbeats, as VMs come, go and fall silent."""
+"""Tests of the selection of gatherers and the merging of digests."""
 
 from unittest import TestCase
 
 from redwingpost.membership.digests import DigestTable
 from redwingpost.membership.gathering import (
-    ALONE_S,
+    ISOLATED_AFTER_S,
     CELL_VMS,
     GATHERERS,
-    REPORTS_S,
+    REPORT_TIMEOUT_S,
     RETRY_S,
     SUSPECT_AFTER_S,
     Cells,
@@ -34,8 +34,8 @@
     return [address.vm for address in addresses]
 
 
-class ChoiceTest(TestCase):
-    def test_all_turn_to_the_same(self) -> None:
+class GathererSelectionTest(TestCase):
+    def test_all_vms_select_the_same_gatherers(self) -> None:
         chosen = {
             tuple(_names(_gathering(f"vm-{n}").gatherers(0.0)))
             for n in range(0, 40, 2)
@@ -53,9 +53,10 @@
                 self.assertEqual(expected, gathering.is_direct)
 
     def test_a_large_data_centre_has_cells(self) -> None:
-        """A data centre of 300 VMs has two gatherers for all of them.
+        """A data centre of 300 VMs has too many for two gatherers.
 
-        Each would send 300 datagrams a heartbeat and do nothing else.
+        Each would send 300 datagrams a heartbeat interval and have no
+        time for anything else.
         """
         cells = Cells()
         cells.set_listed(_addresses(300, centres=1))
@@ -63,11 +64,12 @@
         self.assertEqual(300, sum(sizes))
         self.assertLessEqual(max(sizes), 1.5 * CELL_VMS)
 
-    def test_a_silent_gatherer_is_left_and_tried_again(self) -> None:
-        """A gatherer is suspended and wakes again.
+    def test_a_silent_gatherer_is_replaced_and_retried(self) -> None:
+        """A gatherer is suspended and resumes.
 
-        Told on and on, it would leave its VMs without news of the fleet;
-        left for good, the next would do its work for ever.
+        If its VMs kept reporting to it alone, they would get no digests of
+        the fleet; if it weren't retried, the next gatherer would do its
+        work for ever.
         """
         gathering = _gathering("vm-0")
         if gathering.gathers(0.0):
@@ -76,32 +78,32 @@
         gathering.note_sent((first, second), 0.0)
         gathering.note_digest(second, SUSPECT_AFTER_S - 0.1)
         moments = (
-            ("before", SUSPECT_AFTER_S - 0.05, first),
-            ("silent", SUSPECT_AFTER_S, second),
-            ("for a while", SUSPECT_AFTER_S + RETRY_S - 0.05, second),
-            ("tried again", SUSPECT_AFTER_S + RETRY_S + 0.05, first),
+            ("before the timeout", SUSPECT_AFTER_S - 0.05, first),
+            ("suspected", SUSPECT_AFTER_S, second),
+            ("still suspected", SUSPECT_AFTER_S + RETRY_S - 0.05, second),
+            ("retried", SUSPECT_AFTER_S + RETRY_S + 0.05, first),
         )
         for name, now, expected in moments:
             with self.subTest(name):
-                told = _names(gathering.gatherers(now))
-                self.assertEqual(expected, told[0])
-                self.assertIn(first, told)
+                gatherers = _names(gathering.gatherers(now))
+                self.assertEqual(expected, gatherers[0])
+                self.assertIn(first, gatherers)
 
-    def test_whoever_is_reported_to_gathers(self) -> None:
+    def test_a_vm_that_gets_reports_gathers(self) -> None:
         gathering = next(
             found
             for n in range(0, 40, 2)
             if not (found := _gathering(f"vm-{n}")).gathers(0.0)
         )
         gathering.note_report("vm-38", 1.0)
-        self.assertTrue(gathering.gathers(1.0 + REPORTS_S))
-        self.assertFalse(gathering.gathers(1.1 + REPORTS_S))
+        self.assertTrue(gathering.gathers(1.0 + REPORT_TIMEOUT_S))
+        self.assertFalse(gathering.gathers(1.1 + REPORT_TIMEOUT_S))
 
-    def test_a_vm_that_hears_nobody_gathers_for_itself(self) -> None:
+    def test_an_isolated_vm_gathers_for_itself(self) -> None:
         """A VM is cut off from its whole data centre.
 
-        It goes on telling the gatherers of other data centres, which may
-        still hear it.
+        It still sends digests to the gatherers of other data centres,
+        which may receive them.
         """
         gathering = next(
             found
@@ -109,31 +111,32 @@
             if not (found := _gathering(f"vm-{n}")).gathers(0.0)
         )
         now = 0.0
-        while now < ALONE_S:
+        while now < ISOLATED_AFTER_S:
             self.assertFalse(gathering.gathers(now))
             gathering.note_sent(_names(gathering.gatherers(now)), now)
             now += 0.25
         self.assertTrue(gathering.gathers(now))
-        self.assertTrue(gathering.far_gatherers(now))
+        self.assertTrue(gathering.other_cell_gatherers(now))
         gathering.note_digest(_names(gathering.gatherers(now))[0], now)
         self.assertFalse(gathering.gathers(now))
 
 
 class DigestTest(TestCase):
     def _digest(self, vm: str, vms: set[int] | None, **changes) -> Digest:
-        told = None if vms is None else frozenset(vms)
-        report = CellReport("a/0", 0, told, len(vms or ()), 1, "ip", 2)
+        sent = None if vms is None else frozenset(vms)
+        report = CellReport("a/0", 0, sent, len(vms or ()), 1, "ip", 2)
         digest = Digest(
             vm, 1, False, (report,), {}, False, (), 5, {}, NO_USAGES
         )
         return digest._replace(**changes)
 
-    def test_what_two_gatherers_heard_counts_together(self) -> None:
-        """VMs leave a gatherer that seems silent for another.
+    def test_reports_of_two_gatherers_are_merged(self) -> None:
+        """VMs move from a gatherer that seems silent to another.
 
-        For a moment each has heard some of them only. A VM that took one
-        of the two at its word would use its part of each rate only, and
-        refuse callers within theirs.
+        For a moment each has reports from some of them only. A VM that
+        used one of the two digests alone would count too few VMs alive,
+        use only that part of each rate, and refuse callers within their
+        rates.
         """
         table = DigestTable()
         table.note(self._digest("old", {1, 2, 3}), now=1.0)
@@ -144,11 +147,11 @@
                 (report,) = table.cells(now, within_s=0.5)
                 self.assertEqual(expected, set(report.vms))
 
-    def test_vms_that_were_told_before(self) -> None:
-        """A digest leaves out the VMs that it told before.
+    def test_a_digest_without_its_set_of_vms(self) -> None:
+        """A digest leaves out a set of VMs that was sent before.
 
-        Where the one that told them was lost, they are not nobody: a VM
-        would take its part of each rate for the whole.
+        If the digest with the set was lost, the set must not count as
+        empty: the VM would use only its own part of each rate.
         """
         table = DigestTable()
         table.note(self._digest("g", {1, 2}), now=1.0)
--- a/redwingpost/membership/tests/test_hearing.py
+++ b/redwingpost/membership/tests/test_vm_table.py
@@ -1,8 +1,7 @@
-"""Which VMs count, and when a VM says that it isn't ready."""
+"""Tests of the VM table and of readiness."""
 
 from unittest import TestCase
 
-from redwingpost.membership.hearing import HEARD_S, REMOVE_AFTER_S, VmTable
 from redwingpost.membership.heartbeat import (
     Echo,
     Heartbeat,
@@ -10,10 +9,15 @@
     VmAddress,
 )
 from redwingpost.membership.readiness import (
-    WORSE_FOR_S,
+    WORSE_OFF_FOR_S,
     ReadinessInputs,
     Readiness,
 )
+from redwingpost.membership.vm_table import (
+    HEARTBEAT_TIMEOUT_S,
+    REMOVE_AFTER_S,
+    VmTable,
+)
 
 
 def _heartbeat(vm: str, **changes) -> Heartbeat:
@@ -27,9 +31,9 @@
     return table
 
 
-class HearingTest(TestCase):
-    def test_the_part_follows_who_is_heard(self) -> None:
-        """A VM wakes after a suspension and has heard nobody.
+class VmTableTest(TestCase):
+    def test_the_part_follows_the_alive_vms(self) -> None:
+        """A VM resumes after a suspension; all heartbeats are outdated.
 
         It must not use the whole rate: the others went on meanwhile.
         """
@@ -37,14 +41,14 @@
         for vm in ("vm-1", "vm-2", "vm-3"):
             table.note(_heartbeat(vm), now=1.0)
         self.assertEqual(1.0, table.part(1.0))
-        self.assertEqual(0.25, table.part(1.0 + HEARD_S * 2))
-        self.assertFalse(table.hears_half(1.0 + HEARD_S * 2))
+        self.assertEqual(0.25, table.part(1.0 + HEARTBEAT_TIMEOUT_S * 2))
+        self.assertFalse(table.hears_half(1.0 + HEARTBEAT_TIMEOUT_S * 2))
 
     def test_no_list_means_that_others_may_be_there(self) -> None:
         table = VmTable("vm-0", now=0.0)
         self.assertLess(table.part(0.0), 0.5)
 
-    def test_unlisted_vms_count_once_heard(self) -> None:
+    def test_unlisted_vms_count_once_they_send_heartbeats(self) -> None:
         table = _table(1)
         table.note(_heartbeat("late"), now=1.0)
         self.assertEqual(2, table.count())
@@ -72,11 +76,11 @@
                     places.append(table.place(subject, now=0.1))
                 self.assertEqual([0, 1, 2, 3], sorted(places))
 
-    def test_vms_that_are_not_heard_have_no_turn(self) -> None:
+    def test_silent_vms_have_no_place_in_the_order(self) -> None:
         """A data centre with two of four VMs is cut off.
 
-        If the others waited for their turns, a takeover would take 0.3 s
-        longer, for nothing.
+        If the others left time for these two to act first, a takeover
+        would take 0.3 s longer, for nothing.
         """
         table = VmTable("vm-3", now=0.0)
         names = ("vm-0", "vm-1", "vm-2", "vm-3")
@@ -93,28 +97,29 @@
     def test_a_datagram_is_never_taken_for_younger_than_it_is(self) -> None:
         """A heartbeat waits in the socket of a suspended VM for seconds.
 
-        The sample that it brings must count from before it was sent, or
-        reads would be taken for fresh that are seconds old.
+        The age of the sample in it must count from the earliest time when
+        it may have been sent, or reads that are seconds old would pass as
+        fresh.
         """
-        held = _heartbeat("vm-1", echo=Echo(clock_ms=5000, held_ms=200))
-        self.assertEqual(5.2, held.left_after())
-        self.assertIsNone(_heartbeat("vm-1").left_after())
+        delayed = _heartbeat("vm-1", echo=Echo(clock_ms=5000, held_ms=200))
+        self.assertEqual(5.2, delayed.earliest_sent_at())
+        self.assertIsNone(_heartbeat("vm-1").earliest_sent_at())
 
-    def test_a_brief_heartbeat_takes_no_word_back(self) -> None:
-        """Every second heartbeat of a calm VM leaves its primaries out.
+    def test_a_brief_heartbeat_keeps_the_previous_health(self) -> None:
+        """Every second heartbeat leaves primaries out while all are well.
 
-        If they were forgotten with it, a primary would look as if nobody
-        but this VM knew it, half of the time.
+        If it erased the health of the previous one, a primary would look
+        half of the time as if only this VM observed it.
         """
         health = {"p": PrimaryHealth(300, 0, 0, 0)}
         table = _table()
         table.note(_heartbeat("vm-1", health_by_primary=health), now=1.0)
         table.note(_heartbeat("vm-1", is_brief=True), now=1.25)
-        (heard,) = table.heard(1.3)
-        self.assertEqual(health, heard.health_by_primary)
+        (heartbeat,) = table.fresh_heartbeats(1.3)
+        self.assertEqual(health, heartbeat.health_by_primary)
         table.note(_heartbeat("vm-1"), now=1.5)
-        (heard,) = table.heard(1.6)
-        self.assertEqual({}, heard.health_by_primary)
+        (heartbeat,) = table.fresh_heartbeats(1.6)
+        self.assertEqual({}, heartbeat.health_by_primary)
 
     def test_reached_elsewhere(self) -> None:
         table = _table()
@@ -132,8 +137,8 @@
     def test_when_a_vm_is_ready(self) -> None:
         """A data centre is cut off while its callers still reach it.
 
-        A VM that goes on saying that it is ready keeps them, and serves
-        none of them.
+        A VM that still reports that it is ready keeps getting callers and
+        serves none of them.
         """
         fine = ReadinessInputs(True, False, 3, 3, True, False)
         alone = fine._replace(reached=0, hears_half=False)
@@ -148,15 +153,15 @@
                 fine._replace(reached=1, others_reach_more=True),
                 False,
             ),
-            ("nobody reaches any", fine._replace(reached=0), True),
+            ("no VM reaches any", fine._replace(reached=0), True),
             (
                 "only its own data centre answers",
                 fine._replace(cut_off_s=0.6, hears_half_lately=False),
                 False,
             ),
-            ("half is heard", fine._replace(cut_off_s=0.6), True),
+            ("half are alive", fine._replace(cut_off_s=0.6), True),
             (
-                "few are heard, members answer",
+                "few are alive, members answer",
                 fine._replace(hears_half_lately=False),
                 True,
             ),
@@ -164,6 +169,6 @@
         for name, inputs, expected in cases:
             with self.subTest(name):
                 readiness = Readiness()
-                readiness.judge(inputs, 0.0)
-                later = WORSE_FOR_S + 0.1
-                self.assertEqual(expected, readiness.judge(inputs, later))
+                readiness.update(inputs, 0.0)
+                later = WORSE_OFF_FOR_S + 0.1
+                self.assertEqual(expected, readiness.update(inputs, later))
--- a/redwingpost/membership/views.py
+++ b/redwingpost/membership/views.py
@@ -1,8 +1,8 @@
-"""Views of groups: who leads each database group, as far as is known.
+"""Views of database groups: the newest known term and primary of each.
 
-Answers announcements that arrive late, over detours or out of order: the
-view of the higher term wins. Followed by order of arrival, a late one
-would send writes to a primary that has been replaced.
+Announcements may arrive late, relayed or out of order, so the view of the
+higher term wins. If the last to arrive won, a late one would send writes
+to a primary that has been replaced.
 """
 
 from collections.abc import Iterable, Mapping
@@ -12,7 +12,7 @@
 
 
 def is_newer(view: GroupView, known: GroupView | None) -> bool:
-    """Say whether a view replaces the one that is known.
+    """Return whether a view replaces the one that is known.
 
     Examples
     --------
@@ -29,7 +29,7 @@
     return bool(view.primary) and not known.primary
 
 
-class ViewBoard:
+class GroupViewTable:
     """The newest view of each group."""
 
     def __init__(self) -> None:
@@ -37,12 +37,12 @@
 
     @property
     def by_group(self) -> Mapping[str, GroupView]:
-        """The views, by group."""
+        """The newest views, by name of their group."""
         return self._views_by_group
 
     @property
     def mark(self) -> int:
-        """A 32-bit sum that tells two sets of views apart."""
+        """A 32-bit checksum of the views, compared between VMs."""
         total = 0
         for view in self._views_by_group.values():
             text = f"{view.group}|{view.term}|{view.primary}"
@@ -51,7 +51,7 @@
         return total % 2**32
 
     def observe(self, views: Iterable[GroupView]) -> tuple[GroupView, ...]:
-        """Take views in and return those that were news."""
+        """Merge views and return those that were new."""
         new = []
         for view in views:
             if is_newer(view, self._views_by_group.get(view.group)):
--- a/redwingpost/node/fleet/copy_fetcher.py
+++ b/redwingpost/node/fleet/copy_fetcher.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from random import Random
 
-from redwingpost.membership.hearing import VmTable
+from redwingpost.membership.vm_table import VmTable
 from redwingpost.node.fleet.copies import fetch_copy
 from redwingpost.node.fleet.registry import MemberReader, RulesReader
 from redwingpost.node.request.admission import Admission
--- a/redwingpost/node/fleet/digest_writer.py
+++ b/redwingpost/node/fleet/digest_writer.py
@@ -3,7 +3,6 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from redwingpost.membership.hearing import HEARD_S, VmTable
 from redwingpost.membership.heartbeat import (
     CellReport,
     Digest,
@@ -11,9 +10,10 @@
     Heartbeat,
     MergedHealth,
     VmAddress,
-    set_number,
+    vm_set_number,
     vm_number,
 )
+from redwingpost.membership.vm_table import HEARTBEAT_TIMEOUT_S, VmTable
 from redwingpost.node.fleet.readiness_inputs import reached_by
 from redwingpost.rates.counters import NO_USAGES
 
@@ -73,10 +73,15 @@
         """Return what all VMs say, for those that report here."""
         far = tuple(
             report
-            for report in self._vms.cells(now, HEARD_S)
+            for report in self._vms.cells(now, HEARTBEAT_TIMEOUT_S)
             if report.cell != cell
         )
-        told = [health for _, health in self._vms.told_by_cells(now, HEARD_S)]
+        told = [
+            health
+            for _, health in self._vms.health_of_other_cells(
+                now, HEARTBEAT_TIMEOUT_S
+            )
+        ]
         merged = _merge(self._heartbeats(own, now), told)
         cells = _newest_only((self._report(own, cell, now), *far))
         digest = self._digest(own, cells, merged, may_be_brief)
@@ -125,7 +130,7 @@
         return told.times < TELL_TIMES
 
     def _heartbeats(self, own: Heartbeat, now: float) -> list[Heartbeat]:
-        return [own, *self._vms.heard(now)]
+        return [own, *self._vms.fresh_heartbeats(now)]
 
     def _report(self, own: Heartbeat, cell: str, now: float) -> CellReport:
         heard = self._heartbeats(own, now)
@@ -135,7 +140,7 @@
             cell,
             0,
             vms,
-            set_number(vms),
+            vm_set_number(vms),
             newest.config_version,
             newest.ip,
             max(reached_by(item) for item in heard),
--- a/redwingpost/node/fleet/heartbeats.py
+++ b/redwingpost/node/fleet/heartbeats.py
@@ -17,7 +17,6 @@
 from mode import Service
 
 from redwingpost.membership.gathering import Gathering
-from redwingpost.membership.hearing import BEAT_S, VmTable
 from redwingpost.membership.heartbeat import (
     Digest,
     Heartbeat,
@@ -25,6 +24,7 @@
     VmAddress,
     vm_number,
 )
+from redwingpost.membership.vm_table import HEARTBEAT_INTERVAL_S, VmTable
 from redwingpost.node.fleet.digest_writer import DigestWriter
 from redwingpost.node.steps import repeat
 from redwingpost.observability.journal import log_event
@@ -177,7 +177,7 @@
             return
         now = self._clock.now()
         for address in self._targets():
-            if not self._vms.is_heard(address.vm, now):
+            if not self._vms.is_alive(address.vm, now):
                 self._greet_one(address)
 
     def forget(self, vm: str) -> None:
@@ -187,7 +187,7 @@
 
     @Service.task
     async def _beat(self) -> None:
-        await repeat(self, self._send_beat, BEAT_S)
+        await repeat(self, self._send_beat, HEARTBEAT_INTERVAL_S)
 
     async def _send_beat(self) -> None:
         self.beat()
@@ -286,7 +286,7 @@
         own = self._writer.describe(True)
         digest = self._digests.of_counters(own)
         news = self._relay.take_news()
-        far = self._gathering.far_gatherers(now)
+        far = self._gathering.other_cell_gatherers(now)
         self._send_digest(digest, far, self._relay.of_cell(news), now)
         readers = self._wanting_readers(now)
         self._send_digest(digest, readers, news, now)
@@ -301,7 +301,7 @@
         news = self._relay.take_news()
         digest = self._digests.of_cell(own, cell, may_be_brief, now)
         digest = self._digests.leave_out_known(digest, everything)
-        far = self._gathering.far_gatherers(now)
+        far = self._gathering.other_cell_gatherers(now)
         counters = (*self._relay.of_cell(news), *self._relay.in_turn())
         self._send_digest(digest, far, counters, now)
         self._gathering.note_sent((item.vm for item in far), now)
@@ -373,9 +373,11 @@
         heartbeat, usages = message
         now = self._clock.now()
         vm = heartbeat.vm
-        is_new = not self._vms.is_heard(vm, now)
+        is_new = not self._vms.is_alive(vm, now)
         self._vms.note(heartbeat, now)
-        self._writer.take_samples(heartbeat.samples, heartbeat.left_after())
+        self._writer.take_samples(
+            heartbeat.samples, heartbeat.earliest_sent_at()
+        )
         news = self._ledger.note_peer(vm, heartbeat.boot, usages, now)
         if self._gathering.is_direct:
             if is_new:
@@ -396,7 +398,7 @@
         self._vms.note_digest(digest, now)
         self._gathering.note_digest(digest.vm, now)
         echo = digest.echo_by_number.get(vm_number(self._here.vm))
-        left_at = None if echo is None else echo.left_after()
+        left_at = None if echo is None else echo.earliest_sent_at()
         self._writer.take_samples(digest.samples, left_at)
         self._take_usages(digest, now)
 
--- a/redwingpost/node/fleet/readiness_inputs.py
+++ b/redwingpost/node/fleet/readiness_inputs.py
@@ -1,9 +1,9 @@
 """What this VM can do for callers, and whether others can do more."""
 
 from redwingpost.membership.centres import CentreWatch
-from redwingpost.membership.hearing import LATELY_S, VmTable
 from redwingpost.membership.heartbeat import Heartbeat
 from redwingpost.membership.readiness import ReadinessInputs
+from redwingpost.membership.vm_table import RECENT_HEARTBEAT_S, VmTable
 from redwingpost.node.group import GroupClient
 from redwingpost.node.request.admission import Admission
 
@@ -39,7 +39,7 @@
             hears_half=self._vms.hears_half(now),
             others_reach_more=most_reached(self._vms, now) > reached,
             cut_off_s=self._centres.cut_off_s(),
-            hears_half_lately=self._vms.hears_half(now, LATELY_S),
+            hears_half_lately=self._vms.hears_half(now, RECENT_HEARTBEAT_S),
         )
 
     def _is_served(self, group: GroupClient, now: float) -> bool:
@@ -49,13 +49,15 @@
         """
         if group.is_home(now):
             return group.is_useful()
-        return self._vms.hears_half(now, LATELY_S)
+        return self._vms.hears_half(now, RECENT_HEARTBEAT_S)
 
 
 def most_reached(vms: VmTable, now: float) -> int:
     """Return the most primaries that another VM says it reaches."""
     told = [report.reached for report in vms.cells(now)]
-    told.extend(reached_by(heartbeat) for heartbeat in vms.heard(now))
+    told.extend(
+        reached_by(heartbeat) for heartbeat in vms.fresh_heartbeats(now)
+    )
     return max(told, default=0)
 
 
--- a/redwingpost/node/fleet/vm_list.py
+++ b/redwingpost/node/fleet/vm_list.py
@@ -6,8 +6,8 @@
 from mode import Service
 
 from redwingpost.membership.gathering import Gathering
-from redwingpost.membership.hearing import VmTable
 from redwingpost.membership.heartbeat import VmAddress
+from redwingpost.membership.vm_table import VmTable
 from redwingpost.node.steps import repeat
 from redwingpost.observability.journal import log_event
 from redwingpost.ports.clock import Clock
--- a/redwingpost/node/forwarding/homes.py
+++ b/redwingpost/node/forwarding/homes.py
@@ -5,8 +5,8 @@
 from redwingpost.configuration.routes import ServiceRules
 from redwingpost.groups.choice import ASSUMED_SLOTS
 from redwingpost.groups.directory import Directory
-from redwingpost.membership.hearing import VmTable
 from redwingpost.membership.heartbeat import VmAddress
+from redwingpost.membership.vm_table import VmTable
 from redwingpost.routing.homes import (
     choose_homes,
     count_homes,
@@ -150,7 +150,7 @@
     def _alive_vms(self, now: float) -> tuple[VmAddress, ...]:
         """Return the VMs that may be homes, the same for all groups."""
         if now >= self._alive_until:
-            self._alive = self._vms.at_work(now, GONE_S)
+            self._alive = self._vms.alive_addresses(now, GONE_S)
             self._alive_until = now + KEEP_S / 2.0
         return self._alive
 
--- a/redwingpost/node/group.py
+++ b/redwingpost/node/group.py
@@ -24,7 +24,7 @@
     is_primary_due,
 )
 from redwingpost.membership.centres import CentreWatch
-from redwingpost.membership.hearing import VmTable
+from redwingpost.membership.vm_table import VmTable
 from redwingpost.node.forwarding.homes import HomeView
 from redwingpost.node.lead_proofs import LeadProofs
 from redwingpost.node.member import MemberClient
--- a/redwingpost/node/lead_proofs.py
+++ b/redwingpost/node/lead_proofs.py
@@ -10,7 +10,7 @@
 )
 from redwingpost.groups.directory import Directory
 from redwingpost.groups.evidence import FRESH_START_S, GroupEvidence
-from redwingpost.membership.hearing import VmTable
+from redwingpost.membership.vm_table import VmTable
 from redwingpost.node.member import MemberClient
 from redwingpost.node.prover import SharedProof
 from redwingpost.ports.clock import Clock
--- a/redwingpost/node/request/admission.py
+++ b/redwingpost/node/request/admission.py
@@ -11,7 +11,7 @@
 )
 from redwingpost.core.codes import Code
 from redwingpost.core.requests import Refusal
-from redwingpost.membership.hearing import VmTable
+from redwingpost.membership.vm_table import VmTable
 from redwingpost.observability.journal import log_event
 from redwingpost.ports.clock import Clock
 from redwingpost.rates.usage import UsageLedger
--- a/redwingpost/node/service.py
+++ b/redwingpost/node/service.py
@@ -11,9 +11,9 @@
 from redwingpost.groups.directory import REAPPEAR_S, Directory
 from redwingpost.membership.centres import CentreWatch
 from redwingpost.membership.gathering import Gathering
-from redwingpost.membership.hearing import VmTable
 from redwingpost.membership.heartbeat import VmAddress
 from redwingpost.membership.readiness import Readiness
+from redwingpost.membership.vm_table import VmTable
 from redwingpost.node.fleet.copies import COPY_PATH, Copies
 from redwingpost.node.fleet.copy_fetcher import CopyFetcher
 from redwingpost.node.fleet.heartbeat_writer import HeartbeatWriter
@@ -388,7 +388,7 @@
     async def _ask_members(self) -> None:
         now = self._clock.now()
         groups = tuple(self.group_by_name.values())
-        self._centres.take(
+        self._centres.update(
             tuple(
                 client.health()
                 for group in groups
@@ -407,7 +407,7 @@
 
     def _tidy(self) -> None:
         now = self._clock.now()
-        self._vms.note_hearing(now)
+        self._vms.note_hears_half(now)
         if self._member_watcher.is_lost:
             self.directory.note_outage(now)
         self.directory.expire(now)
@@ -472,7 +472,7 @@
     def _judge_readiness(self) -> None:
         now = self._clock.now()
         inputs = self._readiness_view.describe(self.is_stopping, now)
-        is_ready = self._readiness.judge(inputs, now)
+        is_ready = self._readiness.update(inputs, now)
         if is_ready != self.is_ready:
             self.is_ready = is_ready
             log_event("readiness", ready=is_ready, **inputs._asdict())
--- a/redwingpost/node/takeover/keeper.py
+++ b/redwingpost/node/takeover/keeper.py
@@ -5,7 +5,7 @@
 
 from mode import Service
 
-from redwingpost.membership.hearing import VmTable
+from redwingpost.membership.vm_table import VmTable
 from redwingpost.node.group import GroupClient
 from redwingpost.node.metrics import NodeMetrics
 from redwingpost.node.request.admission import Admission
--- a/redwingpost/node/takeover/leader_view.py
+++ b/redwingpost/node/takeover/leader_view.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable
 
 from redwingpost.membership.centres import CentreWatch
-from redwingpost.membership.hearing import LATELY_S, VmTable
 from redwingpost.membership.heartbeat import MergedHealth
+from redwingpost.membership.vm_table import RECENT_HEARTBEAT_S, VmTable
 from redwingpost.node.group import GroupClient
 from redwingpost.node.member import MemberClient
 from redwingpost.takeover.triggers import LeaderView, stuck_at_all_s
@@ -49,7 +49,7 @@
         leader = group.evidence.leader
         client = group.member_by_name.get(leader or "")
         reports = self._vms.health_of(leader or "", now)
-        latest = self._vms.health_of(leader or "", now, LATELY_S)
+        latest = self._vms.health_of(leader or "", now, RECENT_HEARTBEAT_S)
         return LeaderView(
             leader=leader,
             is_listed=client is not None,
@@ -68,7 +68,7 @@
             paused_s=_since(group.paused_since, now),
             centre_lost_s=self._centre_lost_s(client),
             latest_silent_s=tuple(r.silent_ms / 1000.0 for r in latest),
-            hears_half_lately=self._vms.hears_half(now, LATELY_S),
+            hears_half_lately=self._vms.hears_half(now, RECENT_HEARTBEAT_S),
         )
 
     def _centre_lost_s(self, client: MemberClient | None) -> float:
--- a/redwingpost/node/takeover/rosters.py
+++ b/redwingpost/node/takeover/rosters.py
@@ -7,7 +7,7 @@
 
 from redwingpost.core.positions import Position
 from redwingpost.groups.directory import Directory
-from redwingpost.membership.hearing import VmTable
+from redwingpost.membership.vm_table import VmTable
 from redwingpost.node.group import GroupClient
 from redwingpost.node.steps import repeat
 from redwingpost.node.takeover.duty import GROUP_TABLE
--- a/redwingpost/node/tests/many_vms.py
+++ b/redwingpost/node/tests/many_vms.py
@@ -12,12 +12,12 @@
 
 from redwingpost.configuration.routes import OrganisationRule
 from redwingpost.membership.gathering import Gathering
-from redwingpost.membership.hearing import BEAT_S, VmTable
 from redwingpost.membership.heartbeat import (
     Heartbeat,
     PrimaryHealth,
     VmAddress,
 )
+from redwingpost.membership.vm_table import HEARTBEAT_INTERVAL_S, VmTable
 from redwingpost.node.fleet.heartbeats import Heartbeats, Here
 from redwingpost.ports.clock import VirtualClock
 from redwingpost.rates.usage import UsageLedger
@@ -141,7 +141,7 @@
         life = SimulatedVm(self, address, next(self._boots))
         self.vm_by_name[address.vm] = life
         life.set_listed(self.addresses)
-        first_s = self._random.uniform(0.0, BEAT_S)
+        first_s = self._random.uniform(0.0, HEARTBEAT_INTERVAL_S)
         self.call_later(first_s, lambda: self._beat(life))
 
     def stop(self, vm: str) -> None:
@@ -198,4 +198,4 @@
         if self.vm_by_name.get(life.address.vm) is not life:
             return
         life.heartbeats.beat()
-        self.call_later(BEAT_S, lambda: self._beat(life))
+        self.call_later(HEARTBEAT_INTERVAL_S, lambda: self._beat(life))
--- a/redwingpost/node/tests/test_admission.py
+++ b/redwingpost/node/tests/test_admission.py
@@ -3,7 +3,7 @@
 from unittest import TestCase
 
 from redwingpost.configuration.routes import OrganisationRule
-from redwingpost.membership.hearing import VmTable
+from redwingpost.membership.vm_table import VmTable
 from redwingpost.node.request.admission import Admission
 from redwingpost.ports.clock import VirtualClock
 from redwingpost.rates.usage import FIRST_PART, REPORT_AFTER, UsageLedger
--- a/redwingpost/node/tests/test_copy_fetcher.py
+++ b/redwingpost/node/tests/test_copy_fetcher.py
@@ -7,8 +7,8 @@
 
 from redwingpost.adapters.http_pages import Page, PageServer
 from redwingpost.bench.ports import find_free_port
-from redwingpost.membership.hearing import VmTable
 from redwingpost.membership.heartbeat import Heartbeat
+from redwingpost.membership.vm_table import VmTable
 from redwingpost.node.fleet.copies import COPY_PATH, Copies
 from redwingpost.node.fleet.copy_fetcher import (
     COPY_AFTER_S,
--- a/redwingpost/node/tests/test_forwarding.py
+++ b/redwingpost/node/tests/test_forwarding.py
@@ -16,8 +16,8 @@
 )
 from redwingpost.groups.directory import Directory
 from redwingpost.membership.centres import CentreWatch
-from redwingpost.membership.hearing import VmTable
 from redwingpost.membership.heartbeat import VmAddress
+from redwingpost.membership.vm_table import VmTable
 from redwingpost.node.forwarding.channel import Channels
 from redwingpost.node.forwarding.forwarder import Forwarder, ForwardedStatement
 from redwingpost.node.forwarding.peer import HomeParts
--- a/redwingpost/node/tests/test_group.py
+++ b/redwingpost/node/tests/test_group.py
@@ -7,12 +7,12 @@
 from redwingpost.groups.confirmation import HELD_UP_S, SETTLED_S
 from redwingpost.groups.directory import Directory
 from redwingpost.membership.centres import CentreWatch
-from redwingpost.membership.hearing import VmTable
 from redwingpost.membership.heartbeat import (
     Heartbeat,
     PrimaryHealth,
     VmAddress,
 )
+from redwingpost.membership.vm_table import VmTable
 from redwingpost.node.group import GroupClient
 from redwingpost.node.request.commits import AcknowledgedCommit, confirm_commit
 from redwingpost.ports.clock import VirtualClock
--- a/redwingpost/node/tests/test_heartbeats.py
+++ b/redwingpost/node/tests/test_heartbeats.py
@@ -5,8 +5,8 @@
 from unittest import IsolatedAsyncioTestCase
 
 from redwingpost.membership.gathering import Gathering
-from redwingpost.membership.hearing import VmTable
 from redwingpost.membership.heartbeat import Heartbeat, VmAddress
+from redwingpost.membership.vm_table import VmTable
 from redwingpost.node.fleet.heartbeats import Heartbeats, Here
 from redwingpost.ports.clock import MonotonicClock
 from redwingpost.rates.usage import UsageLedger
@@ -80,5 +80,7 @@
 
     async def _until_heard(self, tables) -> None:
         now = MonotonicClock().now
-        while not all(len(vms.heard(now())) == 1 for vms, _ in tables):
+        while not all(
+            len(vms.fresh_heartbeats(now())) == 1 for vms, _ in tables
+        ):
             await sleep(0.001)
--- a/redwingpost/node/tests/test_homes.py
+++ b/redwingpost/node/tests/test_homes.py
@@ -8,8 +8,8 @@
     OrganisationRule,
 )
 from redwingpost.groups.directory import Directory
-from redwingpost.membership.hearing import VmTable
 from redwingpost.membership.heartbeat import Heartbeat, VmAddress
+from redwingpost.membership.vm_table import VmTable
 from redwingpost.node.forwarding.homes import (
     DOUBT_S,
     GONE_S,
--- a/redwingpost/node/tests/test_many_vms.py
+++ b/redwingpost/node/tests/test_many_vms.py
@@ -5,8 +5,11 @@
 
 from redwingpost.configuration.routes import OrganisationRule
 from redwingpost.membership.gathering import GATHERERS, SUSPECT_AFTER_S
-from redwingpost.membership.hearing import BEAT_S, HEARD_S
 from redwingpost.membership.heartbeat import PrimaryHealth
+from redwingpost.membership.vm_table import (
+    HEARTBEAT_INTERVAL_S,
+    HEARTBEAT_TIMEOUT_S,
+)
 from redwingpost.node.fleet.heartbeats import PASS_ON_S
 from redwingpost.node.tests.many_vms import (
     DELAY_S,
@@ -30,7 +33,7 @@
         Told each to each, heartbeats are 800 a second and VM at 200 VMs.
         A VM on half a core does nothing else then, and callers wait.
         """
-        a_second = round(1.0 / BEAT_S)
+        a_second = round(1.0 / HEARTBEAT_INTERVAL_S)
         for vms, centres in ((62, 3), (195, 6)):
             with self.subTest(vms=vms):
                 fleet = ManyVms(vms, centres)
@@ -70,7 +73,7 @@
             for vm in fleet.vm_by_name.values():
                 for rule in rules:
                     vm.admit(rule, fleet.clock.now())
-            fleet.run(BEAT_S)
+            fleet.run(HEARTBEAT_INTERVAL_S)
             self.assertEqual({1.0}, set(fleet.parts()))
 
     def test_a_small_fleet_tells_each_to_each(self) -> None:
@@ -98,7 +101,7 @@
         self.fleet.stop(gone)
         least = 1.0
         for _ in range(20):
-            self.fleet.run(BEAT_S / 2)
+            self.fleet.run(HEARTBEAT_INTERVAL_S / 2)
             least = min(least, *self.fleet.parts())
         self.assertGreaterEqual(least, 95 / 96 - 1e-9)
         self.assertEqual(GATHERERS * 4, len(self.fleet.gatherers()))
@@ -119,7 +122,7 @@
         self.assertEqual(GATHERERS, len(gone))
         for name in gone:
             fleet.stop(name)
-        fleet.run(SUSPECT_AFTER_S + 4 * BEAT_S)
+        fleet.run(SUSPECT_AFTER_S + 4 * HEARTBEAT_INTERVAL_S)
         self.assertGreaterEqual(min(fleet.parts()), 94 / 96 - 1e-9)
 
     def test_a_data_centre_is_cut_off(self) -> None:
@@ -134,7 +137,7 @@
             item.vm for item in fleet.addresses if item.data_centre == "dc-1"
         }
         fleet.is_cut = lambda one, other: (one in inside) != (other in inside)
-        fleet.run(HEARD_S + 3 * BEAT_S)
+        fleet.run(HEARTBEAT_TIMEOUT_S + 3 * HEARTBEAT_INTERVAL_S)
         now = fleet.clock.now()
         for name, vm in fleet.vm_by_name.items():
             expected = 0.25 if name in inside else 0.75
@@ -167,7 +170,7 @@
         for name in failing:
             life = fleet.vm_by_name[name]
             life.writer.health = PrimaryHealth(900, 0, 900, 700)
-        fleet.run(3 * BEAT_S + 4 * DELAY_S)
+        fleet.run(3 * HEARTBEAT_INTERVAL_S + 4 * DELAY_S)
         now = fleet.clock.now()
         for name, vm in fleet.vm_by_name.items():
             reports = vm.vms.health_of(PRIMARY, now)
--- a/redwingpost/node/tests/test_quota.py
+++ b/redwingpost/node/tests/test_quota.py
@@ -16,7 +16,7 @@
 from redwingpost.groups.directory import Directory
 from redwingpost.groups.evidence import FRESH_START_S
 from redwingpost.membership.centres import CentreWatch
-from redwingpost.membership.hearing import VmTable
+from redwingpost.membership.vm_table import VmTable
 from redwingpost.node.group import GroupClient
 from redwingpost.node.metrics import NodeMetrics
 from redwingpost.node.request.admission import Admission
--- a/redwingpost/node/tests/test_rosters.py
+++ b/redwingpost/node/tests/test_rosters.py
@@ -8,8 +8,8 @@
 from redwingpost.core.requests import Refusal
 from redwingpost.groups.directory import Directory
 from redwingpost.groups.evidence import GroupEvidence
-from redwingpost.membership.hearing import VmTable
 from redwingpost.membership.heartbeat import VmAddress
+from redwingpost.membership.vm_table import VmTable
 from redwingpost.node.takeover.rosters import RosterKeeper, decode_rosters
 from redwingpost.ports.clock import VirtualClock
 from redwingpost.ports.database import MemberEntry, StatusReport
--- a/redwingpost/operator/desk.py
+++ b/redwingpost/operator/desk.py
@@ -23,7 +23,7 @@
 from redwingpost.membership.report import (
     Sighting,
     VmReport,
-    best_sightings,
+    latest_sightings,
     report_vm,
 )
 from redwingpost.ports import ObjectStore, TableService, VmList
@@ -85,7 +85,7 @@
         found = list(first.values())
         for answer in answers:
             found.extend(answer)
-        return best_sightings(found)
+        return latest_sightings(found)
 
     async def _first_sightings(self) -> dict[str, Sighting]:
         listed = await self._vm_list.vms()
@@ -95,7 +95,7 @@
         for address in dict.fromkeys([*self._given, *addresses]):
             answer = await self._ask(address)
             if answer:
-                heard = best_sightings(answer)
+                heard = latest_sightings(answer)
                 break
         for entry in entries:
             unheard = Beat(
