--- a/redwingpost/agent/shares.py
+++ b/redwingpost/agent/shares.py
@@ -15,17 +15,17 @@
 from redwingpost.rates.roster import (
     BASE_VALID_S,
     HAND_OVER_S,
-    PAUSED_S,
+    MAX_TICK_GAP_S,
     Roster,
     claim,
-    excess,
-    found,
+    confirmed_parts,
+    excess_parts,
     gone_vms,
     hand_over,
+    initial_roster,
     parse,
     remove,
     render,
-    vouched_parts,
 )
 
 #: Seconds between two looks: the proxy's last word is renewed eight
@@ -97,7 +97,7 @@
         two thirds of all requests were refused.
         """
         now = self._context.clock.now()
-        if now - self._last_tick_at > PAUSED_S:
+        if now - self._last_tick_at > MAX_TICK_GAP_S:
             # Another VM may hold this part since the pause began.
             self._read_at = float("-inf")
             self._woke_at = now
@@ -153,7 +153,7 @@
         listed = await self._context.vm_list.vms()
         vms = [] if listed.is_error() else listed.ok
         names = {entry.vm for entry in vms if entry.state == "live"}
-        return found(sorted(names | {self._state.vm}))
+        return initial_roster(sorted(names | {self._state.vm}))
 
     async def _keep_equal(self) -> None:
         """Hand over what is beyond the equal part, or all when leaving."""
@@ -162,7 +162,9 @@
         if held is None or held.incarnation != self._state.incarnation:
             return
         more = (
-            held.parts if self._is_leaving(now) else excess(self._roster, vm)
+            held.parts
+            if self._is_leaving(now)
+            else excess_parts(self._roster, vm)
         )
         if more == 0 or len(self._roster) == 1:
             self._lowered_to = None
@@ -217,7 +219,7 @@
 
     def _vouch(self) -> None:
         now = self._context.clock.now()
-        parts = vouched_parts(
+        parts = confirmed_parts(
             self._roster,
             self._state.vm,
             self._state.incarnation,
--- a/redwingpost/agent/tests/test_shares.py
+++ b/redwingpost/agent/tests/test_shares.py
@@ -14,7 +14,7 @@
     VirtualClock,
     VmEntry,
 )
-from redwingpost.rates.bucket import WHOLE
+from redwingpost.rates.bucket import TOTAL_PARTS
 
 _VMS = ("vm-1", "vm-2")
 
@@ -96,7 +96,7 @@
 
     def test_a_part_is_claimed(self):
         self._live(2)
-        self.assertEqual(self._parts, WHOLE // 2)
+        self.assertEqual(self._parts, TOTAL_PARTS // 2)
 
     def test_a_store_outage_takes_no_part_away(self):
         # The platform's store is away for half a minute, and each call
@@ -106,7 +106,7 @@
         self.store.is_away = True
         for _ in range(15):
             self._live(0.5)
-            self.assertEqual(self._parts, WHOLE // 2)
+            self.assertEqual(self._parts, TOTAL_PARTS // 2)
 
     def test_a_paused_agent_vouches_for_nothing(self):
         # The VM is suspended for ten seconds. Its part may have been
@@ -117,7 +117,7 @@
         self.part.watch()
         self.assertEqual(self._parts, 0)
         self._live(2)
-        self.assertEqual(self._parts, WHOLE // 2)
+        self.assertEqual(self._parts, TOTAL_PARTS // 2)
 
     def test_an_answer_from_before_a_pause_counts_for_nothing(self):
         self._live(2)
--- a/redwingpost/node/fleet/heartbeats.py
+++ b/redwingpost/node/fleet/heartbeats.py
@@ -261,7 +261,9 @@
         usages = self._ledger.take_report(everything, now)
         heartbeat = self._writer.describe(may_be_brief)
         if self._vms.gathers:
-            self._relay.note(heartbeat.vm, heartbeat.boot, usages, is_own=True)
+            self._relay.record(
+                heartbeat.vm, heartbeat.boot, usages, is_own=True
+            )
         gatherers = self._gathering.gatherers(now)
         for number, address in enumerate(gatherers):
             told = heartbeat._replace(
@@ -285,9 +287,9 @@
         now = self._clock.now()
         own = self._writer.describe(True)
         digest = self._digests.of_counters(own)
-        news = self._relay.take_news()
+        news = self._relay.take_changed()
         far = self._gathering.far_gatherers(now)
-        self._send_digest(digest, far, self._relay.of_cell(news), now)
+        self._send_digest(digest, far, self._relay.select_own_cell(news), now)
         readers = self._wanting_readers(now)
         self._send_digest(digest, readers, news, now)
 
@@ -298,11 +300,14 @@
             return
         now = self._clock.now()
         own = self._writer.describe(False)
-        news = self._relay.take_news()
+        news = self._relay.take_changed()
         digest = self._digests.of_cell(own, cell, may_be_brief, now)
         digest = self._digests.leave_out_known(digest, everything)
         far = self._gathering.far_gatherers(now)
-        counters = (*self._relay.of_cell(news), *self._relay.in_turn())
+        counters = (
+            *self._relay.select_own_cell(news),
+            *self._relay.next_repeated(),
+        )
         self._send_digest(digest, far, counters, now)
         self._gathering.note_sent((item.vm for item in far), now)
         has_new, self._has_new_reader = self._has_new_reader, False
@@ -384,7 +389,7 @@
         if vm not in self._wanting:
             self._has_new_reader = True
         self._gathering.note_report(vm, now)
-        self._relay.note(vm, heartbeat.boot, news, is_own=True)
+        self._relay.record(vm, heartbeat.boot, news, is_own=True)
         self._wanting[vm] = heartbeat.wants_usages
         if news and heartbeat.is_urgent:
             self._pass_on_soon()
@@ -404,12 +409,12 @@
         """Take in counters; a gatherer passes on those of other cells."""
         relays = self._vms.gathers and not digest.is_fleet
         is_news = False
-        for item in digest.usages.every():
+        for item in digest.usages.iter_usages():
             news = self._ledger.note_peer(
                 item.vm, item.boot, (item.usage,), now
             )
             if relays and news:
-                self._relay.note(item.vm, item.boot, news, is_own=False)
+                self._relay.record(item.vm, item.boot, news, is_own=False)
                 is_news = True
         if is_news and digest.is_urgent:
             self._pass_on_soon()
--- a/redwingpost/node/request/admission.py
+++ b/redwingpost/node/request/admission.py
@@ -85,7 +85,7 @@
 
     def give_back(self, organisation: OrganisationRule) -> None:
         """Undo ``spend`` for an operation that reached no member."""
-        self._ledger.give_back(organisation.name)
+        self._ledger.refund(organisation.name)
 
     def spend(
         self, organisation: OrganisationRule, request: str
--- a/redwingpost/node/tests/test_admission.py
+++ b/redwingpost/node/tests/test_admission.py
@@ -6,7 +6,11 @@
 from redwingpost.membership.hearing import VmTable
 from redwingpost.node.request.admission import Admission
 from redwingpost.ports.clock import VirtualClock
-from redwingpost.rates.usage import FIRST_PART, REPORT_AFTER, UsageLedger
+from redwingpost.rates.usage import (
+    INITIAL_BURST_FRACTION,
+    REPORT_AFTER_ADMISSIONS,
+    UsageLedger,
+)
 
 _RULE = OrganisationRule("parish", frozenset(), 1.0, 400.0, 1)
 
@@ -32,15 +36,15 @@
                 told.extend(self.ledger.take_report(False, 0.0))
 
         self.admission.on_admitted = report_if_due
-        for _ in range(3 * REPORT_AFTER):
+        for _ in range(3 * REPORT_AFTER_ADMISSIONS):
             self.assertIsNone(self.admission.spend(_RULE, "r1"))
         self.assertEqual(3, len(told))
-        self.assertEqual(3 * REPORT_AFTER, told[-1].admitted)
+        self.assertEqual(3 * REPORT_AFTER_ADMISSIONS, told[-1].admitted)
 
     def test_what_is_refused_is_not_told(self) -> None:
         told = []
         self.admission.on_admitted = told.append
-        admitted = int(_RULE.burst * FIRST_PART)
+        admitted = int(_RULE.burst * INITIAL_BURST_FRACTION)
         for _ in range(admitted + 5):
             self.admission.spend(_RULE, "r1")
         self.assertEqual(admitted, len(told))
--- a/redwingpost/proxy/lending.py
+++ b/redwingpost/proxy/lending.py
@@ -17,28 +17,28 @@
 from redwingpost.ports import Clock
 from redwingpost.proxy.directory import Directory
 from redwingpost.proxy.feed import FedPeer, FedShare
-from redwingpost.rates.bucket import STATEMENT, WHOLE
+from redwingpost.rates.bucket import STATEMENT_MICROTOKENS, TOTAL_PARTS
 from redwingpost.rates.demand import (
     DemandMeter,
-    PeerHint,
-    Shortfall,
-    dry_pause,
-    keep_tokens,
+    LenderCandidate,
+    LoanAmount,
     lendable,
     order_lenders,
     parts_for,
+    retry_pause_s,
     shortfall,
-    surplus,
+    surplus_loans,
+    tokens_to_keep,
 )
-from redwingpost.rates.ledger import Base, Borrowed, Ledger
+from redwingpost.rates.ledger import BaseParts, Borrowed, Ledger
 from redwingpost.rates.loans import (
     Borrower,
     Grant,
     Lender,
     QUARANTINE_S,
-    numbers_of,
+    number_sequence,
 )
-from redwingpost.rates.waiting import RateLine, Waiter
+from redwingpost.rates.waiting import WaitQueue, Waiter
 from redwingpost.wire.schema import SCHEMA
 
 #: Seconds that a peer gets for an answer: a slow round trip between
@@ -68,7 +68,7 @@
         self.ledger = ledger
         self.lender = Lender(ledger, numbers)
         self.borrower = Borrower(ledger, numbers)
-        self.line = RateLine(ledger)
+        self.line = WaitQueue(ledger)
         self.meter = DemandMeter()
         self.spare_by_vm: dict[str, int] = {}
         self.dry_rounds = 0
@@ -77,7 +77,7 @@
         self.changed = Event()
         self.pumping = False
 
-    def needs(self, now: float) -> Shortfall | None:
+    def needs(self, now: float) -> LoanAmount | None:
         """Return what to borrow."""
         demand = self.meter.per_second(now)
         return shortfall(self.ledger, demand, self.line.waiting, now)
@@ -85,9 +85,9 @@
     def surplus(self, now: float) -> list[Borrowed]:
         """Return the loans to give back."""
         demand = self.meter.per_second(now)
-        return surplus(self.ledger, demand, self.line.waiting, now)
+        return surplus_loans(self.ledger, demand, self.line.waiting, now)
 
-    def lendable(self, ask: Shortfall, now: float) -> Shortfall:
+    def lendable(self, ask: LoanAmount, now: float) -> LoanAmount:
         """Return what to lend of what a peer asks for."""
         demand = self.meter.per_second(now)
         waiting = self.line.waiting
@@ -140,9 +140,9 @@
         self._clients = clients
         self._clock = clock
         self._incarnation = incarnation
-        self._numbers = numbers_of(incarnation)
+        self._numbers = number_sequence(incarnation)
         self._usable_from = clock.now() + QUARANTINE_S
-        self._base = Base(0, self._usable_from, 0.0)
+        self._base = BaseParts(0, self._usable_from, 0.0)
         self._peers_by_vm: dict[str, _Peer] = {}
         self._accounts_by_organisation: dict[str, Account] = {}
         self._account_by_loan: dict[int, Account] = {}
@@ -156,14 +156,14 @@
     def hold_whole_rates(self) -> None:
         """Serve alone: this proxy has no agent and no peers."""
         self._usable_from = self._clock.now()
-        self._base = Base(WHOLE, self._usable_from, float("inf"))
+        self._base = BaseParts(TOTAL_PARTS, self._usable_from, float("inf"))
         self._refresh()
 
     def take_shares(self, shares: Iterable[FedShare]) -> None:
         """Take in the base parts that the agent vouches for."""
         for share in shares:
             if share.organisation == ALL_ORGANISATIONS:
-                self._base = Base(
+                self._base = BaseParts(
                     share.parts_per_million,
                     self._usable_from,
                     share.valid_until,
@@ -196,7 +196,7 @@
         """Spend tokens, waiting a moment where that helps."""
         now = self._clock.now()
         account = self._account(organisation)
-        tokens = round(cost * STATEMENT)
+        tokens = round(cost * STATEMENT_MICROTOKENS)
         account.meter.observe(tokens, now)
         if account.line.spend(tokens, now):
             self._borrow_ahead(account, now)
@@ -214,7 +214,7 @@
             if not future.done() or future.cancelled():
                 account.line.discard(future)
 
-    def lend(self, vm: str, organisation: str, ask: Shortfall) -> Grant:
+    def lend(self, vm: str, organisation: str, ask: LoanAmount) -> Grant:
         """Answer a peer that asks for a loan."""
         now = self._clock.now()
         account = self._account(organisation)
@@ -261,7 +261,7 @@
             granted = known.get(name)
             if granted is not None:
                 ledger = account.ledger
-                ledger.set_grant(granted.rate, granted.burst, now)
+                ledger.set_limits(granted.rate, granted.burst, now)
             account.ledger.set_base(self._base, now)
 
     def _borrow_ahead(self, account: Account, now: float) -> None:
@@ -273,15 +273,17 @@
         account.asking = True
         self._spawn(self._round(account, need))
 
-    async def _round(self, account: Account, need: Shortfall) -> None:
+    async def _round(self, account: Account, need: LoanAmount) -> None:
         """Ask several peers at once."""
         try:
             hints = [
-                PeerHint(p.vm, p.data_centre, account.spare_by_vm.get(p.vm))
+                LenderCandidate(
+                    p.vm, p.data_centre, account.spare_by_vm.get(p.vm)
+                )
                 for p in self._peers_by_vm.values()
             ]
             vms = order_lenders(hints, self._data_centre, account.dry_rounds)
-            each = Shortfall(
+            each = LoanAmount(
                 min(need.parts, _OVERASK * need.parts // len(vms) + 1),
                 min(need.tokens, _OVERASK * need.tokens // len(vms) + 1),
             )
@@ -290,18 +292,18 @@
             account.asking = False
             account.changed.set()
         now = self._clock.now()
-        if sum(gained) > STATEMENT // 2:
+        if sum(gained) > STATEMENT_MICROTOKENS // 2:
             account.dry_rounds = 0
             account.ask_after = now
         else:
             account.dry_rounds += 1
-            account.ask_after = now + dry_pause(account.dry_rounds)
+            account.ask_after = now + retry_pause_s(account.dry_rounds)
 
-    async def _ask(self, account: Account, vm: str, need: Shortfall) -> int:
+    async def _ask(self, account: Account, vm: str, need: LoanAmount) -> int:
         """Ask one peer; return the micro-tokens that it lent."""
         peer = self._peers_by_vm[vm]
         now = self._clock.now()
-        ask = account.borrower.ask(vm, need.parts, need.tokens, now)
+        ask = account.borrower.request(vm, need.parts, need.tokens, now)
         answer = await self._clients.call(
             peer.address,
             lambda node: node.lending().lending.borrow(
@@ -314,7 +316,7 @@
             CALL_S,
         )
         if answer.is_error():
-            account.borrower.forget(ask.ask)
+            account.borrower.cancel(ask.number)
             account.spare_by_vm[vm] = 0
             return 0
         loan = answer.ok.loan
@@ -325,7 +327,7 @@
             loan.validMs / 1000,
         )
         account.spare_by_vm[vm] = grant.parts
-        if not account.borrower.accept(ask.ask, grant, self._clock.now()):
+        if not account.borrower.accept(ask.number, grant, self._clock.now()):
             return 0
         self._settle_line(account)
         return grant.tokens
@@ -385,15 +387,15 @@
         key = (loan.lender, loan.loan)
         valid_s = answer.ok.validMs / 1000
         now = self._clock.now()
-        if not account.borrower.renewed(key, valid_s, asked_at, now):
+        if not account.borrower.apply_renewal(key, valid_s, asked_at, now):
             self._give_back(account, [loan])
 
     def _give_back(self, account: Account, loans: list[Borrowed]) -> None:
         now = self._clock.now()
-        keep = keep_tokens(account.meter.per_second(now))
+        keep = tokens_to_keep(account.meter.per_second(now))
         for loan in loans:
             key = (loan.lender, loan.loan)
-            back = account.borrower.give_back(key, keep, now)
+            back = account.borrower.return_loan(key, keep, now)
             if back is not None:
                 self._spawn(self._send_back(back))
 
@@ -464,7 +466,7 @@
             return
         if organisation not in configuration.organisations_by_name:
             return
-        ask = Shortfall(partsPerMillion, microTokens)
+        ask = LoanAmount(partsPerMillion, microTokens)
         grant = self._desk.lend(vm, organisation, ask)
         loan = _context.results.init("loan")
         loan.loan = grant.loan
--- a/redwingpost/rates/__init__.py
+++ b/redwingpost/rates/__init__.py
@@ -1,6 +1,8 @@
-"""Rates and bursts of organisations, conserved over all VMs together.
+"""Rate limits of organisations, enforced over all VMs together.
 
-`Bucket` counts tokens, `Ledger` the parts one VM holds, `Lender` and
-`Borrower` move parts between VMs, the demand functions say when, and the
-roster grants the base parts through the table service.
+`UsageLedger` admits operations by the counters that all VMs report. The
+other modules split a rate into parts: `Bucket` counts tokens, `Ledger`
+keeps the parts that one VM holds, `Lender` and `Borrower` move parts
+between VMs, `demand` decides when to move them, and `roster` assigns the
+base parts in a row of the table service.
 """
--- a/redwingpost/rates/counters.py
+++ b/redwingpost/rates/counters.py
@@ -1,4 +1,4 @@
-"""Counters of operations as VMs tell them: one at a time, or many."""
+"""Counters of operations that VMs report, singly or as a table."""
 
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
@@ -7,11 +7,11 @@
 class Usage(NamedTuple):
     """Operations of one organisation at a VM since its start.
 
-    ``returned`` of the admitted ones reached no member. ``tokens`` is the
-    whole bucket as the VM sees it; None where it has just started.
-    ``newly_used`` and ``newly_offered`` say what came since the VM's
-    report before: a reader that meets the counters for the first time
-    knows by them where to count from.
+    ``returned`` counts the admitted operations that reached no member.
+    ``tokens`` is the VM's estimate of the organisation's whole bucket;
+    None if the VM has just started. ``newly_used`` and ``newly_offered``
+    count the operations since the VM's previous report: a receiver that
+    sees the counters for the first time charges only these.
     """
 
     organisation: str
@@ -24,7 +24,7 @@
 
     @property
     def counts(self) -> tuple[int, int, int]:
-        """Return the counters, which only grow."""
+        """Return the counters, which never decrease."""
         return self.admitted, self.offered, self.returned
 
     @property
@@ -34,7 +34,7 @@
 
 
 class VmUsage(NamedTuple):
-    """One organisation's counters at one VM, in one of its lives."""
+    """One organisation's counters at one VM, since the start ``boot``."""
 
     vm: str
     boot: int
@@ -42,10 +42,10 @@
 
 
 class UsageTable(NamedTuple):
-    """Counters of many VMs, each name once.
+    """Counters of many VMs that hold each name only once.
 
-    ``rows`` hold the places of the VM and of the organisation, then what
-    ``Usage`` holds besides.
+    A row holds the index of the VM, the index of the organisation and
+    the fields of ``Usage`` after ``organisation``.
     """
 
     vms: tuple[tuple[str, int], ...]
@@ -53,33 +53,33 @@
     rows: tuple[tuple, ...]
 
     @classmethod
-    def of(cls, usages: Iterable[VmUsage]) -> "UsageTable":
-        """Return a table of counters.
+    def from_usages(cls, usages: Iterable[VmUsage]) -> "UsageTable":
+        """Build a table from counters.
 
         Examples
         --------
         >>> item = VmUsage("vm-1", 7, Usage("a", 3, 4))
-        >>> list(UsageTable.of([item]).every()) == [item]
+        >>> list(UsageTable.from_usages([item]).iter_usages()) == [item]
         True
         """
-        place_by_vm: dict[tuple[str, int], int] = {}
-        place_by_organisation: dict[str, int] = {}
+        index_by_vm: dict[tuple[str, int], int] = {}
+        index_by_organisation: dict[str, int] = {}
         rows = []
         for vm, boot, usage in usages:
-            vm_place = place_by_vm.setdefault((vm, boot), len(place_by_vm))
-            place = place_by_organisation.setdefault(
-                usage.organisation, len(place_by_organisation)
+            vm_index = index_by_vm.setdefault((vm, boot), len(index_by_vm))
+            organisation_index = index_by_organisation.setdefault(
+                usage.organisation, len(index_by_organisation)
             )
-            rows.append((vm_place, place, *usage[1:]))
+            rows.append((vm_index, organisation_index, *usage[1:]))
         return cls(
-            tuple(place_by_vm), tuple(place_by_organisation), tuple(rows)
+            tuple(index_by_vm), tuple(index_by_organisation), tuple(rows)
         )
 
-    def every(self) -> Iterator[VmUsage]:
-        """Iterate over all counters."""
-        for vm_place, place, *counts in self.rows:
-            usage = Usage(self.organisations[place], *counts)
-            yield VmUsage(*self.vms[vm_place], usage)
+    def iter_usages(self) -> Iterator[VmUsage]:
+        """Iterate over the counters in the table."""
+        for vm_index, organisation_index, *counts in self.rows:
+            usage = Usage(self.organisations[organisation_index], *counts)
+            yield VmUsage(*self.vms[vm_index], usage)
 
 
 NO_USAGES = UsageTable((), (), ())
--- a/redwingpost/rates/ledger.py
+++ b/redwingpost/rates/ledger.py
@@ -1,14 +1,17 @@
-"""One VM's account of one organisation's rate: base, borrowed, lent.
+"""The parts of one organisation's rate that one VM holds.
 
-Load pattern: callers of an organisation come through any VM, and now
-and then all through one. Without accounts that sum to one whole, six VMs
-either grant the rate six times or refuse five sixths of it to callers
-that happen to share a VM.
+A VM holds base parts, parts borrowed from other VMs, and gives up those
+that it lends.
 
-Every call settles the account up to ``now`` first: parts whose time is
-up leave before a token is spent. A VM that wakes from a pause therefore
-finds its share lapsed by its own clock, before it serves anyone; without
-this it would spend a part that another VM has been given meanwhile.
+Load pattern: callers of an organisation connect through any VM, and at
+times all through one. Unless the parts of all VMs sum to the total, six
+VMs either grant the rate six times or refuse five sixths of it to
+callers that happen to share a VM.
+
+Every call first advances the ledger to ``now``: expired parts are
+dropped before a token is spent. A VM that resumes after a pause thus
+finds its parts expired by its own clock before it serves a caller.
+Otherwise it would spend parts that another VM has received meanwhile.
 """
 
 from typing import NamedTuple
@@ -17,7 +20,7 @@
 
 
 class Borrowed(NamedTuple):
-    """Parts on loan from another VM; ``valid_until`` in seconds."""
+    """Parts borrowed from another VM until ``valid_until`` (seconds)."""
 
     lender: str
     loan: int
@@ -26,23 +29,23 @@
 
 
 class Lent(NamedTuple):
-    """Parts on loan to another VM; they come back at ``lapses_at``."""
+    """Parts lent to another VM; the loan expires at ``expires_at``."""
 
     loan: int
     borrower: str
     parts: int
-    lapses_at: float
+    expires_at: float
 
 
-class Base(NamedTuple):
-    """Parts that the roster grants this VM, in force between two times."""
+class BaseParts(NamedTuple):
+    """Parts that the roster assigns to this VM for a span of time."""
 
     parts: int
     usable_from: float
     valid_until: float
 
 
-NO_BASE = Base(0, 0.0, 0.0)
+NO_BASE_PARTS = BaseParts(0, 0.0, 0.0)
 
 
 class Ledger:
@@ -51,14 +54,14 @@
     Parameters
     ----------
     rate, burst : float
-        The organisation's whole rate (statements a second) and burst.
+        The organisation's total rate (statements a second) and burst.
     now : float
         Seconds.
 
     Examples
     --------
     >>> ledger = Ledger(rate=60.0, burst=6.0, now=0.0)
-    >>> ledger.set_base(Base(1_000_000, 0.0, valid_until=5.0), now=0.0)
+    >>> ledger.set_base(BaseParts(1_000_000, 0.0, valid_until=5.0), now=0.0)
     >>> ledger.spend(1_000_000, now=0.05)
     True
     >>> ledger.spend(1_000_000, now=5.0)
@@ -67,17 +70,17 @@
 
     def __init__(self, rate: float, burst: float, now: float) -> None:
         self.bucket = Bucket(rate, burst, now)
-        self.base = NO_BASE
+        self.base = NO_BASE_PARTS
         self.borrowed_by_loan: dict[tuple[str, int], Borrowed] = {}
         self.lent_by_loan: dict[int, Lent] = {}
         self._now = now
 
     def parts_at(self, now: float) -> int:
-        """Return the parts held at ``now``: base, less lent, plus borrowed.
+        """Return the parts held at ``now``: base less lent plus borrowed.
 
-        What is lent beyond the base (after the base shrank) does not eat
-        into what others lent to this VM: the roster waits for such loans
-        to lapse before it grants the difference to anyone.
+        Parts lent beyond a base that has shrunk are not subtracted from
+        the borrowed parts: before the difference is assigned to another
+        VM, these loans have expired (`HAND_OVER_S` in the roster).
         """
         lent = sum(loan.parts for loan in self.lent_by_loan.values())
         borrowed = sum(
@@ -93,49 +96,50 @@
         return self.base.parts if in_force else 0
 
     def unlent_base(self, now: float) -> int:
-        """Return the base parts that are not on loan."""
+        """Return the base parts that are not lent."""
         lent = sum(loan.parts for loan in self.lent_by_loan.values())
         return max(0, self.base_at(now) - lent)
 
-    def settle(self, now: float) -> None:
-        """Bring tokens and parts up to ``now``.
+    def advance(self, now: float) -> None:
+        """Update tokens and parts to ``now``.
 
-        Each lapse on the way takes effect at its own time, so that a
-        part brings tokens up to its lapse and none after.
+        Each expiry in between takes effect at its own time, so that a
+        part adds tokens until it expires and none afterwards.
         """
-        # Up to date already: a line of waiters asks many times about one
-        # moment.
+        # Already up to date: a queue of waiting requests calls this many
+        # times with the same ``now``.
         if now <= self._now:
             return
-        for moment in self._changes_until(now):
-            self.bucket.settle(moment)
-            self._drop_lapsed(moment)
-            self.bucket.set_parts(self.parts_at(moment))
-        self.bucket.settle(now)
+        for change_at in self._change_times_until(now):
+            self.bucket.refill(change_at)
+            self._drop_expired(change_at)
+            self.bucket.set_parts(self.parts_at(change_at))
+        self.bucket.refill(now)
         self._now = now
 
-    def set_base(self, base: Base, now: float) -> None:
-        """Take a base grant; added parts bring no tokens along."""
-        self.settle(now)
+    def set_base(self, base: BaseParts, now: float) -> None:
+        """Replace the base parts; added parts come without tokens."""
+        self.advance(now)
         self.base = base
         self.bucket.set_parts(self.parts_at(now))
 
-    def set_grant(self, rate: float, burst: float, now: float) -> None:
-        """Take a changed rate and burst."""
-        self.settle(now)
-        self.bucket.set_grant(rate, burst)
+    def set_limits(self, rate: float, burst: float, now: float) -> None:
+        """Apply a changed rate and burst."""
+        self.advance(now)
+        self.bucket.set_limits(rate, burst)
 
     def spend(self, tokens: int, now: float) -> bool:
-        """Spend micro-tokens if this VM holds them at ``now``."""
-        self.settle(now)
+        """Spend ``tokens`` micro-tokens if this VM holds them."""
+        self.advance(now)
         return self.bucket.take(tokens)
 
     def seconds_until(self, tokens: int, now: float) -> float:
-        """Return when ``tokens`` will be there, as parts stand now.
+        """Return the seconds until this VM holds ``tokens``.
 
-        Infinite where the parts held can never gather as many.
+        Assumes that the parts held don't change. Infinite if these parts
+        can't hold as many tokens.
         """
-        self.settle(now)
+        self.advance(now)
         missing = tokens - self.bucket.tokens
         if missing <= 0:
             return 0.0
@@ -144,8 +148,8 @@
         return missing / self.bucket.refill_per_s()
 
     def add_lent(self, lent: Lent, tokens: int, now: float) -> int:
-        """Take parts and tokens out for a loan; return the tokens."""
-        self.settle(now)
+        """Subtract a loan to a peer; return the tokens subtracted."""
+        self.advance(now)
         allowed = min(tokens, self.bucket.capacity(lent.parts))
         removed = self.bucket.remove(allowed)
         self.lent_by_loan[lent.loan] = lent
@@ -153,20 +157,20 @@
         return removed
 
     def close_lent(self, loan: int, tokens: int, now: float) -> bool:
-        """Take a loan back in; False where it is closed or lapsed."""
-        self.settle(now)
+        """Add a returned loan; False if it was closed or has expired."""
+        self.advance(now)
         lent = self.lent_by_loan.pop(loan, None)
         if lent is None:
             return False
         self.bucket.set_parts(self.parts_at(now))
-        # A borrower that answers with more than its loan can hold is
-        # wrong; tokens beyond that would be created here.
+        # A faulty borrower may return more tokens than the loan can hold;
+        # the excess would be created here.
         self.bucket.add(min(tokens, self.bucket.capacity(lent.parts)))
         return True
 
     def add_borrowed(self, loan: Borrowed, tokens: int, now: float) -> None:
-        """Take in a loan's parts and tokens."""
-        self.settle(now)
+        """Add the parts and tokens of a loan from a peer."""
+        self.advance(now)
         self.borrowed_by_loan[(loan.lender, loan.loan)] = loan
         self.bucket.set_parts(self.parts_at(now))
         self.bucket.add(min(tokens, self.bucket.capacity(loan.parts)))
@@ -174,45 +178,46 @@
     def close_borrowed(
         self, key: tuple[str, int], keep: int, now: float
     ) -> int | None:
-        """Take a loan out; return the tokens that go with it.
+        """Subtract a borrowed loan; return the tokens to send back.
 
         Parameters
         ----------
         key : tuple of str and int
             Lender and number of the loan.
         keep : int
-            Micro-tokens that this VM still needs, as far as they fit in
-            what it still holds.
+            Micro-tokens that this VM still needs; it keeps as many of
+            them as its remaining parts can hold.
         now : float
             Seconds.
 
         Returns
         -------
         int or None
-            Micro-tokens given up; None where the loan is gone.
+            Micro-tokens subtracted; None if the loan has expired or was
+            returned before.
         """
-        self.settle(now)
+        self.advance(now)
         loan = self.borrowed_by_loan.pop(key, None)
         if loan is None:
             return None
-        stay = self.bucket.capacity(self.parts_at(now))
-        surplus = max(0, self.bucket.tokens - min(keep, stay))
+        remaining_capacity = self.bucket.capacity(self.parts_at(now))
+        surplus = max(0, self.bucket.tokens - min(keep, remaining_capacity))
         removed = self.bucket.remove(
             min(surplus, self.bucket.capacity(loan.parts))
         )
         self.bucket.set_parts(self.parts_at(now))
         return removed
 
-    def _changes_until(self, now: float) -> list[float]:
-        moments = [self.base.usable_from, self.base.valid_until]
-        moments += [b.valid_until for b in self.borrowed_by_loan.values()]
-        moments += [lent.lapses_at for lent in self.lent_by_loan.values()]
-        return sorted(m for m in set(moments) if self._now < m <= now)
+    def _change_times_until(self, now: float) -> list[float]:
+        times = [self.base.usable_from, self.base.valid_until]
+        times += [b.valid_until for b in self.borrowed_by_loan.values()]
+        times += [lent.expires_at for lent in self.lent_by_loan.values()]
+        return sorted(at for at in set(times) if self._now < at <= now)
 
-    def _drop_lapsed(self, moment: float) -> None:
+    def _drop_expired(self, change_at: float) -> None:
         for key, loan in list(self.borrowed_by_loan.items()):
-            if loan.valid_until <= moment:
+            if loan.valid_until <= change_at:
                 del self.borrowed_by_loan[key]
         for number, lent in list(self.lent_by_loan.items()):
-            if lent.lapses_at <= moment:
+            if lent.expires_at <= change_at:
                 del self.lent_by_loan[number]
--- a/redwingpost/rates/loans.py
+++ b/redwingpost/rates/loans.py
@@ -1,24 +1,26 @@
-"""Loans of parts between VMs: the two sides as state machines.
+"""Loans of parts between VMs: state machines of lender and borrower.
 
 Load pattern: demand moves between VMs faster than the table service
-should be asked (a balancer moves callers, a VM drains, one caller
-bursts), and it moves during store outages too. Without loans a VM grants
-only its equal part of a rate, and refuses five sixths of a burst that
-all arrives at one of six VMs.
-
-Conservation rests on four rules.
-
-- The lender subtracts parts and tokens before it answers. A lost answer
-  strands them until the loan lapses; it never doubles them.
-- The borrower counts the validity from before it asked, the lender from
-  after: a loan lapses at the borrower first, whatever the delay.
-- The borrower subtracts before it gives back. Each loan closes once, so
-  a repeated or late message finds no loan and changes nothing.
-- Only base parts are lent, never borrowed ones, and never beyond the
-  base's own validity. There is no chain of loans to unwind.
-
-A restarted VM has forgotten what it lent: it must leave its base unused
-for ``QUARANTINE_S``.
+should be called (a balancer moves callers, a VM drains, one caller
+bursts), and it also moves during store outages. Without loans a VM
+grants only its equal part of a rate, and refuses five sixths of a burst
+that arrives entirely at one of six VMs.
+
+Four rules ensure that loans create no tokens.
+
+- The lender subtracts parts and tokens before it answers. If the answer
+  is lost they stay unused until the loan expires; they never exist
+  twice.
+- The borrower counts the validity from before it sent the request, the
+  lender from after it received it. A loan therefore expires at the
+  borrower first, whatever the delay.
+- The borrower subtracts a loan before it returns it. Each loan closes
+  once, so a repeated or late message finds no loan and has no effect.
+- Only base parts are lent, never borrowed ones, and no loan outlives the
+  validity of the base. There is no chain of loans to resolve.
+
+A restarted VM has lost the record of its loans, so it must not use its
+base for ``QUARANTINE_S``.
 """
 
 from collections.abc import Iterator
@@ -27,36 +29,38 @@
 
 from redwingpost.rates.ledger import Borrowed, Ledger, Lent
 
-#: Seconds that a loan is valid without renewal. A borrower's death
-#: strands its loans this long, so it bounds the wrongful refusals that a
-#: death causes; every loan costs a renewal each half of it.
+#: Seconds that a loan is valid without renewal. The loans of a crashed
+#: borrower stay unused for this long, which bounds the wrongful refusals
+#: that a crash causes; each loan is renewed after half of it.
 LOAN_S = 1.0
 
-#: Seconds that the lender waits longer than the borrower: clocks of two
-#: VMs differ by parts in ten thousand at most, a tenth is ample.
-MARGIN_S = 0.1
+#: Seconds that the lender waits beyond the borrower's validity: the
+#: clock rates of two VMs differ by a few parts in ten thousand at most,
+#: so a tenth of a second is ample.
+LENDER_MARGIN_S = 0.1
 
-#: Seconds after a start during which base parts stay unused: by then
-#: every loan that the previous process on this VM made has lapsed.
-QUARANTINE_S = LOAN_S + MARGIN_S
+#: Seconds after a start during which base parts stay unused: after that,
+#: every loan made by the previous process on this VM has expired.
+QUARANTINE_S = LOAN_S + LENDER_MARGIN_S
 
-#: Seconds of validity left at which a borrower renews a loan that it
-#: needs: three tries of a slow round trip (100 ms) fit in.
+#: A borrower renews a loan that it needs once this many seconds of its
+#: validity are left: enough for three attempts of 100 ms, a slow round
+#: trip.
 RENEW_AHEAD_S = 0.5
 
 
-class Ask(NamedTuple):
-    """A borrower's request; ``asked_at`` stays with the borrower."""
+class LoanRequest(NamedTuple):
+    """A borrower's request; ``requested_at`` is not sent to the lender."""
 
-    ask: int
+    number: int
     lender: str
     parts: int
     tokens: int
-    asked_at: float
+    requested_at: float
 
 
 class Grant(NamedTuple):
-    """A lender's answer; zero parts where it has none to spare."""
+    """A lender's answer; zero parts if it has none to spare."""
 
     loan: int
     parts: int
@@ -64,8 +68,8 @@
     valid_s: float
 
 
-class Return(NamedTuple):
-    """A loan that the borrower gives back, already subtracted."""
+class LoanReturn(NamedTuple):
+    """A returned loan, already subtracted at the borrower."""
 
     lender: str
     loan: int
@@ -75,23 +79,24 @@
 
 NO_GRANT = Grant(0, 0, 0, 0.0)
 
-#: Numbers that one process may use; at 250 loans a second it lasts an
-#: hour and more before it reaches those of a restart a millisecond on,
-#: which is far beyond the life of any loan.
+#: Bits of a number that count within one process. At 250 loans a second
+#: it takes over an hour to reach the numbers of a process started a
+#: millisecond later, far longer than any loan lasts.
 _NUMBERS_PER_INCARNATION_BITS = 20
 
 
-def numbers_of(incarnation: int) -> Iterator[int]:
-    """Return the loan and request numbers of one process.
+def number_sequence(incarnation: int) -> Iterator[int]:
+    """Return the numbers that one process gives to loans and requests.
 
     Parameters
     ----------
     incarnation : int
-        Milliseconds of wall clock at the start, or anything that grows.
+        Wall clock at the start in milliseconds, or another number that
+        grows with each start.
 
     Examples
     --------
-    >>> numbers = numbers_of(1)
+    >>> numbers = number_sequence(1)
     >>> next(numbers), next(numbers)
     (1048577, 1048578)
     """
@@ -99,16 +104,17 @@
 
 
 class Lender:
-    """The side that lends base parts of one organisation.
+    """Lends base parts of one organisation to other VMs.
 
     Parameters
     ----------
     ledger : Ledger
-        The organisation's account on this VM.
+        The organisation's ledger on this VM.
     numbers : iterator of int
         Loan numbers, shared by all organisations of the process. After a
-        restart they start at one never used (see `first_number`), so
-        that a message about an old loan can't be taken for a new one's.
+        restart they continue with unused numbers (see
+        `number_sequence`), so that a message about an old loan is not
+        applied to a new one.
     """
 
     def __init__(self, ledger: Ledger, numbers: Iterator[int]) -> None:
@@ -118,120 +124,125 @@
     def lend(
         self, borrower: str, parts: int, tokens: int, now: float
     ) -> Grant:
-        """Lend at most ``parts`` and ``tokens``, as far as they're here."""
-        self.ledger.settle(now)
+        """Lend up to ``parts`` and ``tokens`` of what this VM holds."""
+        self.ledger.advance(now)
         parts = min(parts, self.ledger.unlent_base(now))
         valid_s = self._validity(now)
         if parts <= 0 or valid_s <= 0:
             return NO_GRANT
         lent = Lent(
-            next(self._numbers), borrower, parts, now + valid_s + MARGIN_S
+            next(self._numbers),
+            borrower,
+            parts,
+            now + valid_s + LENDER_MARGIN_S,
         )
         moved = self.ledger.add_lent(lent, tokens, now)
         return Grant(lent.loan, parts, moved, valid_s)
 
-    def renew(self, loan: int, wanted_back: bool, now: float) -> float:
-        """Return the new validity in seconds; 0 asks for the loan back."""
-        self.ledger.settle(now)
+    def renew(self, loan: int, recall: bool, now: float) -> float:
+        """Return the new validity in seconds; 0 recalls the loan."""
+        self.ledger.advance(now)
         lent = self.ledger.lent_by_loan.get(loan)
         valid_s = self._validity(now)
-        overdrawn = self._overdrawn(now)
-        if lent is None or wanted_back or overdrawn or valid_s <= 0:
+        overdrawn = self._has_lent_beyond_base(now)
+        if lent is None or recall or overdrawn or valid_s <= 0:
             return 0.0
-        lapses_at = max(lent.lapses_at, now + valid_s + MARGIN_S)
-        self.ledger.lent_by_loan[loan] = lent._replace(lapses_at=lapses_at)
+        expires_at = max(lent.expires_at, now + valid_s + LENDER_MARGIN_S)
+        self.ledger.lent_by_loan[loan] = lent._replace(expires_at=expires_at)
         return valid_s
 
     def take_back(self, loan: int, tokens: int, now: float) -> bool:
-        """Close a loan; False where it was closed before or lapsed."""
+        """Close a returned loan; False if it was closed or has expired."""
         return self.ledger.close_lent(loan, tokens, now)
 
     def _validity(self, now: float) -> float:
         # A loan that outlived the base would still be spent after the
-        # roster has granted the base to another VM.
-        left = self.ledger.base.valid_until - now - MARGIN_S
+        # roster has assigned the base to another VM.
+        left = self.ledger.base.valid_until - now - LENDER_MARGIN_S
         return min(LOAN_S, left)
 
-    def _overdrawn(self, now: float) -> bool:
+    def _has_lent_beyond_base(self, now: float) -> bool:
         lent = sum(x.parts for x in self.ledger.lent_by_loan.values())
         return lent > self.ledger.base_at(now)
 
 
 class Borrower:
-    """The side that borrows parts of one organisation.
+    """Borrows parts of one organisation from other VMs.
 
     Parameters
     ----------
     ledger : Ledger
-        The organisation's account on this VM.
+        The organisation's ledger on this VM.
     numbers : iterator of int
-        As `Lender`'s: an answer to the process that ran here before
-        must not pass for one to this process, which asked later and
-        would count its validity from then.
+        As for `Lender`. An answer to the previous process on this VM
+        must not match a request of this process: that request was sent
+        later, and the validity would be counted from that later time.
     """
 
     def __init__(self, ledger: Ledger, numbers: Iterator[int]) -> None:
         self.ledger = ledger
         self._numbers = numbers
-        self._asks_by_number: dict[int, Ask] = {}
-
-    def ask(self, lender: str, parts: int, tokens: int, now: float) -> Ask:
-        """Open a request to a lender."""
-        ask = Ask(next(self._numbers), lender, parts, tokens, now)
-        self._asks_by_number[ask.ask] = ask
-        return ask
-
-    def forget(self, ask: int) -> None:
-        """Give up a request whose answer will not be waited for."""
-        self._asks_by_number.pop(ask, None)
-
-    def accept(self, ask: int, grant: Grant, now: float) -> bool:
-        """Take in an answer; False where it is late or repeated."""
-        asked = self._asks_by_number.pop(ask, None)
-        if asked is None or grant.parts <= 0:
+        self._requests_by_number: dict[int, LoanRequest] = {}
+
+    def request(
+        self, lender: str, parts: int, tokens: int, now: float
+    ) -> LoanRequest:
+        """Create and record a request to a lender."""
+        request = LoanRequest(next(self._numbers), lender, parts, tokens, now)
+        self._requests_by_number[request.number] = request
+        return request
+
+    def cancel(self, number: int) -> None:
+        """Drop a request; a later answer to it is ignored."""
+        self._requests_by_number.pop(number, None)
+
+    def accept(self, number: int, grant: Grant, now: float) -> bool:
+        """Add a granted loan; False if the answer is late or repeated."""
+        request = self._requests_by_number.pop(number, None)
+        if request is None or grant.parts <= 0:
             return False
-        valid_until = asked.asked_at + grant.valid_s
+        valid_until = request.requested_at + grant.valid_s
         if valid_until <= now:
             return False
-        loan = Borrowed(asked.lender, grant.loan, grant.parts, valid_until)
+        loan = Borrowed(request.lender, grant.loan, grant.parts, valid_until)
         self.ledger.add_borrowed(loan, grant.tokens, now)
         return True
 
-    def renewed(
+    def apply_renewal(
         self,
         key: tuple[str, int],
         valid_s: float,
-        asked_at: float,
+        requested_at: float,
         now: float,
     ) -> bool:
-        """Take in a renewal; False where the lender wants it back."""
-        self.ledger.settle(now)
+        """Extend a loan; False if the lender recalls it or it is gone."""
+        self.ledger.advance(now)
         loan = self.ledger.borrowed_by_loan.get(key)
         if loan is None or valid_s <= 0:
             return False
-        valid_until = max(loan.valid_until, asked_at + valid_s)
+        valid_until = max(loan.valid_until, requested_at + valid_s)
         self.ledger.borrowed_by_loan[key] = loan._replace(
             valid_until=valid_until
         )
         return True
 
-    def give_back(
+    def return_loan(
         self, key: tuple[str, int], keep: int, now: float
-    ) -> Return | None:
+    ) -> LoanReturn | None:
         """Subtract a loan and return the message for its lender.
 
-        ``keep`` is how many micro-tokens this VM still needs.
+        ``keep`` is the number of micro-tokens that this VM still needs.
         """
-        self.ledger.settle(now)
+        self.ledger.advance(now)
         loan = self.ledger.borrowed_by_loan.get(key)
         tokens = self.ledger.close_borrowed(key, keep, now)
         if loan is None or tokens is None:
             return None
-        return Return(loan.lender, loan.loan, loan.parts, tokens)
+        return LoanReturn(loan.lender, loan.loan, loan.parts, tokens)
 
     def due_for_renewal(self, now: float) -> list[Borrowed]:
-        """Return the loans whose validity runs out soon."""
-        self.ledger.settle(now)
+        """Return the loans that expire within ``RENEW_AHEAD_S``."""
+        self.ledger.advance(now)
         return [
             loan
             for loan in self.ledger.borrowed_by_loan.values()
--- a/redwingpost/rates/relay.py
+++ b/redwingpost/rates/relay.py
@@ -1,9 +1,10 @@
-"""What a gatherer has heard of usage and has yet to pass on.
+"""Usage counters that a gatherer has received and has to forward.
 
-Counters only grow and name the VM that counts, so they may be passed on
-any number of times, over any way and in any order: the reader takes the
-largest. Only what has changed since the last time is passed on, and in
-turn a few of the others, which repairs what a lost datagram left behind.
+Counters never decrease and carry the name of their VM, so they can be
+forwarded repeatedly, over any path and in any order: the receiver keeps
+the largest. Each heartbeat forwards the counters that changed since the
+previous one, and a few of the others in rotation, which makes up for
+lost datagrams.
 """
 
 from collections.abc import Iterable
@@ -11,91 +12,93 @@
 
 from redwingpost.rates.counters import Usage, VmUsage
 
-#: Counters that are passed on again with each heartbeat, in turn.
-IN_TURN = 16
+#: Unchanged counters that each heartbeat repeats, in rotation.
+REPEATED_PER_HEARTBEAT = 16
 
 
 class UsageRelay:
-    """Counters by VM and organisation, and which of them are news.
+    """Counters by VM and organisation; tracks which of them changed.
 
     Examples
     --------
     >>> relay = UsageRelay()
-    >>> relay.note("vm-1", 7, (Usage("a", 3),), is_own=True)
-    >>> [item.usage.admitted for item in relay.take_news()]
+    >>> relay.record("vm-1", 7, (Usage("a", 3),), is_own=True)
+    >>> [item.usage.admitted for item in relay.take_changed()]
     [3]
-    >>> list(relay.take_news())
+    >>> list(relay.take_changed())
     []
     """
 
     def __init__(self) -> None:
         self._item_by_key: dict[tuple[str, str], VmUsage] = {}
         self._own_keys: dict[tuple[str, str], None] = {}
-        self._news: dict[tuple[str, str], None] = {}
-        self._turn = 0
+        self._changed_keys: dict[tuple[str, str], None] = {}
+        self._next_repeated_index = 0
 
-    def note(
+    def record(
         self, vm: str, boot: int, usages: Iterable[Usage], is_own: bool
     ) -> None:
-        """Take in counters that were news.
+        """Record changed counters of a VM.
 
         Parameters
         ----------
         is_own : bool
-            Whether the VM is one of this gatherer's own cell. Others are
-            told of by their own gatherers.
+            Whether the VM belongs to this gatherer's own cell. The other
+            VMs are reported by their own gatherers.
         """
         for usage in usages:
             key = (vm, usage.organisation)
-            if key in self._news:
-                usage = _together(self._item_by_key[key].usage, usage)
+            if key in self._changed_keys:
+                usage = _sum_new_counts(self._item_by_key[key].usage, usage)
             self._item_by_key[key] = VmUsage(vm, boot, usage)
-            self._news[key] = None
+            self._changed_keys[key] = None
             if is_own:
                 self._own_keys[key] = None
 
-    def take_news(self) -> tuple[VmUsage, ...]:
-        """Return what has changed since the last time."""
-        items = tuple(self._item_by_key[key] for key in self._news)
-        self._news.clear()
+    def take_changed(self) -> tuple[VmUsage, ...]:
+        """Return the counters that changed since the last call."""
+        items = tuple(self._item_by_key[key] for key in self._changed_keys)
+        self._changed_keys.clear()
         return items
 
-    def of_cell(self, items: Iterable[VmUsage]) -> tuple[VmUsage, ...]:
-        """Return those of some counters that are of the own cell."""
+    def select_own_cell(self, items: Iterable[VmUsage]) -> tuple[VmUsage, ...]:
+        """Return those of ``items`` that belong to the own cell."""
         return tuple(
             item
             for item in items
             if (item.vm, item.usage.organisation) in self._own_keys
         )
 
-    def in_turn(self) -> tuple[VmUsage, ...]:
-        """Return some of the own cell's counters, others each time.
+    def next_repeated(self) -> tuple[VmUsage, ...]:
+        """Return the next of the own cell's counters in rotation.
 
-        They are no news to whoever had them all.
+        A receiver that has all earlier reports learns nothing new.
         """
         if not self._own_keys:
             return ()
-        start = self._turn % len(self._own_keys)
-        self._turn = start + IN_TURN
-        keys = islice(self._own_keys, start, start + IN_TURN)
-        return tuple(_repeated(self._item_by_key[key]) for key in keys)
+        start = self._next_repeated_index % len(self._own_keys)
+        self._next_repeated_index = start + REPEATED_PER_HEARTBEAT
+        keys = islice(self._own_keys, start, start + REPEATED_PER_HEARTBEAT)
+        return tuple(
+            _without_new_counts(self._item_by_key[key]) for key in keys
+        )
 
     def forget(self, vm: str) -> None:
-        """Drop the counters of a VM that is gone."""
+        """Drop the counters of a VM that left the fleet."""
         for key in [key for key in self._item_by_key if key[0] == vm]:
             del self._item_by_key[key]
             self._own_keys.pop(key, None)
-            self._news.pop(key, None)
+            self._changed_keys.pop(key, None)
 
 
-def _together(before: Usage, usage: Usage) -> Usage:
-    """Return counters with what is new of two reports in a row."""
+def _sum_new_counts(before: Usage, usage: Usage) -> Usage:
+    """Return counters with the new counts of two consecutive reports."""
     return usage._replace(
         newly_used=before.newly_used + usage.newly_used,
         newly_offered=before.newly_offered + usage.newly_offered,
     )
 
 
-def _repeated(item: VmUsage) -> VmUsage:
+def _without_new_counts(item: VmUsage) -> VmUsage:
     usage = item.usage._replace(newly_used=0, newly_offered=0)
     return item._replace(usage=usage)
--- a/redwingpost/rates/tests/test_demand.py
+++ b/redwingpost/rates/tests/test_demand.py
@@ -1,117 +1,123 @@
-"""Loans in virtual time: do tokens get to where the callers are?"""
+"""Loans in virtual time move tokens to the VMs that need them."""
 
 from random import Random
 from unittest import TestCase
 
-from redwingpost.rates.bucket import STATEMENT, WHOLE
+from redwingpost.rates.bucket import STATEMENT_MICROTOKENS, TOTAL_PARTS
 from redwingpost.rates.demand import (
     DemandMeter,
-    Shortfall,
-    keep_tokens,
+    LoanAmount,
     lendable,
     shortfall,
-    surplus,
+    surplus_loans,
+    tokens_to_keep,
 )
-from redwingpost.rates.ledger import Base, Ledger
-from redwingpost.rates.loans import Borrower, Lender, numbers_of
-from redwingpost.rates.waiting import RateLine, Waiter
+from redwingpost.rates.ledger import BaseParts, Ledger
+from redwingpost.rates.loans import Borrower, Lender, number_sequence
+from redwingpost.rates.waiting import WaitQueue, Waiter
 
 RATE, BURST = 120.0, 60.0
 VMS = 6
-#: Seconds of an exchange between two VMs in these tests.
+#: Duration of an exchange between two VMs in these tests.
 EXCHANGE_S = 0.003
 STEP_S = 0.001
 FOREVER = 1e9
 
 
 class Vm:
-    def __init__(self, place, lends):
+    def __init__(self, index, lends):
         self.lends = lends
         self.ledger = Ledger(RATE, BURST, 0.0)
-        numbers = numbers_of(place)
+        numbers = number_sequence(index)
         self.lender = Lender(self.ledger, numbers)
         self.borrower = Borrower(self.ledger, numbers)
-        self.line = RateLine(self.ledger)
+        self.queue = WaitQueue(self.ledger)
         self.meter = DemandMeter()
-        self.ask_after = 0.0
-        self.answered = 0
+        self.request_after = 0.0
+        self.served = 0
         self.refused = 0
 
 
 class Fleet:
-    """Six accounts that exchange loans in rounds of a fixed duration."""
+    """Six VMs that exchange loans in rounds of a fixed duration."""
 
     def __init__(self, lends=True):
-        self.vms = [Vm(place + 1, lends) for place in range(VMS)]
+        self.vms = [Vm(index + 1, lends) for index in range(VMS)]
         for vm in self.vms:
-            base = Base(WHOLE // VMS, 0.0, FOREVER)
+            base = BaseParts(TOTAL_PARTS // VMS, 0.0, FOREVER)
             vm.ledger.set_base(base, 0.0)
         self.now = 2.0
         self.pending = []
 
-    def offer(self, place):
-        vm = self.vms[place]
-        vm.meter.observe(STATEMENT, self.now)
-        vm.line.add(Waiter(STATEMENT, self.now + 1.0, None))
+    def offer(self, index):
+        vm = self.vms[index]
+        vm.meter.observe(STATEMENT_MICROTOKENS, self.now)
+        vm.queue.add(Waiter(STATEMENT_MICROTOKENS, self.now + 1.0, None))
 
     def step(self):
         self.now += STEP_S
-        for due, vm, peer, ask, need in list(self.pending):
-            if due <= self.now:
-                self.pending.remove((due, vm, peer, ask, need))
-                self._exchange(vm, peer, ask, need)
+        for due_at, vm, peer, request, amount in list(self.pending):
+            if due_at <= self.now:
+                self.pending.remove((due_at, vm, peer, request, amount))
+                self._exchange(vm, peer, request, amount)
         for vm in self.vms:
-            self._keep(vm)
-            self._ask(vm)
-            vm.answered += len(vm.line.serve(self.now))
-            asking = any(entry[1] is vm for entry in self.pending)
-            vm.refused += len(vm.line.refuse(self.now, asking))
-
-    def _ask(self, vm):
-        if not vm.lends or self.now < vm.ask_after:
+            self._maintain_loans(vm)
+            self._request_loans(vm)
+            vm.served += len(vm.queue.serve(self.now))
+            loan_pending = any(entry[1] is vm for entry in self.pending)
+            vm.refused += len(vm.queue.refuse(self.now, loan_pending))
+
+    def _request_loans(self, vm):
+        if not vm.lends or self.now < vm.request_after:
             return
         demand = vm.meter.per_second(self.now)
-        need = shortfall(vm.ledger, demand, vm.line.waiting, self.now)
-        if need is None:
+        amount = shortfall(vm.ledger, demand, vm.queue.waiting, self.now)
+        if amount is None:
             return
-        vm.ask_after = self.now + 2 * EXCHANGE_S
+        vm.request_after = self.now + 2 * EXCHANGE_S
         for peer in self.vms:
             if peer is not vm:
-                each = Shortfall(need.parts, need.tokens)
-                ask = vm.borrower.ask(
+                each = LoanAmount(amount.parts, amount.tokens)
+                request = vm.borrower.request(
                     str(id(peer)), each.parts, each.tokens, self.now
                 )
-                due = self.now + EXCHANGE_S
-                self.pending.append((due, vm, peer, ask, each))
+                due_at = self.now + EXCHANGE_S
+                self.pending.append((due_at, vm, peer, request, each))
 
-    def _exchange(self, vm, peer, ask, need):
+    def _exchange(self, vm, peer, request, amount):
         demand = peer.meter.per_second(self.now)
-        waiting = peer.line.waiting
-        spare = lendable(peer.ledger, demand, waiting, need, self.now)
+        waiting = peer.queue.waiting
+        spare = lendable(peer.ledger, demand, waiting, amount, self.now)
         grant = peer.lender.lend("", spare.parts, spare.tokens, self.now)
-        vm.borrower.accept(ask.ask, grant, self.now)
-        for loan in surplus(peer.ledger, demand, waiting, self.now):
-            self._return(peer, loan, demand)
+        vm.borrower.accept(request.number, grant, self.now)
+        for loan in surplus_loans(peer.ledger, demand, waiting, self.now):
+            self._return_loan(peer, loan, demand)
 
-    def _keep(self, vm):
+    def _maintain_loans(self, vm):
         demand = vm.meter.per_second(self.now)
-        for loan in surplus(vm.ledger, demand, vm.line.waiting, self.now):
-            self._return(vm, loan, demand)
+        for loan in surplus_loans(
+            vm.ledger, demand, vm.queue.waiting, self.now
+        ):
+            self._return_loan(vm, loan, demand)
         for loan in vm.borrower.due_for_renewal(self.now):
             key = (loan.lender, loan.loan)
-            valid_s = self._lender(loan).renew(loan.loan, False, self.now)
-            vm.borrower.renewed(key, valid_s, self.now, self.now)
+            valid_s = self._lender_of(loan).renew(loan.loan, False, self.now)
+            vm.borrower.apply_renewal(key, valid_s, self.now, self.now)
 
-    def _lender(self, loan):
+    def _lender_of(self, loan):
         return next(p for p in self.vms if str(id(p)) == loan.lender).lender
 
-    def _return(self, vm, loan, demand):
+    def _return_loan(self, vm, loan, demand):
         key = (loan.lender, loan.loan)
-        back = vm.borrower.give_back(key, keep_tokens(demand), self.now)
-        self._lender(loan).take_back(back.loan, back.tokens, self.now)
+        returned = vm.borrower.return_loan(
+            key, tokens_to_keep(demand), self.now
+        )
+        self._lender_of(loan).take_back(
+            returned.loan, returned.tokens, self.now
+        )
 
     def run(self, seconds, choose, per_second, seed=1):
-        """Offer Poisson arrivals; ``choose`` says at which VM."""
+        """Offer Poisson arrivals; ``choose`` picks the VM of each."""
         random = Random(seed)
         end = self.now + seconds
         next_at = self.now
@@ -126,11 +132,11 @@
         return sum(vm.refused for vm in self.vms)
 
     @property
-    def answered(self):
-        return sum(vm.answered for vm in self.vms)
+    def served(self):
+        return sum(vm.served for vm in self.vms)
 
 
-def spread(random):
+def any_vm(random):
     return random.randrange(VMS)
 
 
@@ -140,11 +146,11 @@
 
 class LoansFollowDemandTest(TestCase):
     def test_within_the_rate(self):
-        """Callers of one organisation reach the fleet through a balancer
-        that spreads them, or sticks to one VM. Within the rate nobody
-        may be refused; with fixed parts, most are.
+        """Callers of one organisation connect through a balancer that
+        spreads them over the VMs or sticks to one VM. Within the rate no
+        request may be refused; with fixed parts, most are.
         """
-        table = [("spread", spread), ("one VM", one_vm)]
+        table = [("spread", any_vm), ("one VM", one_vm)]
         for name, choose in table:
             for lends in (True, False):
                 with self.subTest(name=name, lends=lends):
@@ -156,8 +162,8 @@
                         self.assertGreater(fleet.refused, 200)
 
     def test_burst_at_one_vm(self):
-        """A page prints a whole plan: the organisation's burst arrives at
-        one VM at once, whose own part holds a sixth of it.
+        """The organisation's total burst arrives at one VM at once, whose
+        own parts hold a sixth of it, as when a page prints a whole plan.
         """
         for lends, least in ((True, 60), (False, 10)):
             with self.subTest(lends=lends):
@@ -166,13 +172,13 @@
                     fleet.offer(0)
                 for _ in range(300):
                     fleet.step()
-                self.assertGreaterEqual(fleet.answered, least)
-                self.assertEqual(fleet.answered == BURST, lends)
+                self.assertGreaterEqual(fleet.served, least)
+                self.assertEqual(fleet.served == BURST, lends)
 
     def test_callers_move_to_another_vm(self):
-        """A drain moves all callers from one VM to another, which holds
-        nothing but its own part at first. The old one gives back what
-        it borrowed when it is asked.
+        """A drain moves all callers from one VM to another, which at
+        first holds only its own parts. The old VM returns its loans when
+        it receives a request.
         """
         fleet = Fleet()
         fleet.run(3.0, one_vm, 0.85 * RATE)
@@ -180,11 +186,11 @@
         self.assertEqual(fleet.refused, 0)
 
     def test_ten_times_the_rate(self):
-        """One organisation sends ten times its rate. It gets its rate,
-        not a statement more, and the rest is refused.
+        """One organisation sends ten times its rate. It gets no more
+        statements than its rate and burst allow; the rest is refused.
         """
         fleet = Fleet()
         fleet.run(5.0, one_vm, 10 * RATE)
         allowed = BURST + 5.0 * RATE
-        self.assertLessEqual(fleet.answered, allowed)
-        self.assertGreaterEqual(fleet.answered, 0.97 * allowed)
+        self.assertLessEqual(fleet.served, allowed)
+        self.assertGreaterEqual(fleet.served, 0.97 * allowed)
--- a/redwingpost/rates/tests/test_usage.py
+++ b/redwingpost/rates/tests/test_usage.py
@@ -1,29 +1,29 @@
-"""Rates held by reported usage: played loads, judged by what is served."""
+"""Rates enforced by reported usage, under simulated loads."""
 
 from random import Random
 from unittest import TestCase
 
 from redwingpost.configuration.routes import OrganisationRule
-from redwingpost.rates.usage import REPORT_AFTER, Usage, UsageLedger
+from redwingpost.rates.usage import REPORT_AFTER_ADMISSIONS, Usage, UsageLedger
 
 RULE = OrganisationRule("org", frozenset(), 20.0, 20.0, 1)
 WINDOW_S = 5.0
 STEP_S = 0.01
-BEAT_S = 0.25
+HEARTBEAT_S = 0.25
 
 
 class Fleet:
-    """Ledgers that tell each other what they admitted."""
+    """Ledgers that report their admissions to each other."""
 
     def __init__(self, vms: int) -> None:
         self.ledgers = [UsageLedger(0.0) for _ in range(vms)]
         self.parts = [1.0] * vms
-        self.hears = [[True] * vms for _ in range(vms)]
+        self.receives_from = [[True] * vms for _ in range(vms)]
         self.admitted: list[tuple[float, int]] = []
         self.offered = [0] * vms
 
     def offer(self, vm: int, now: float) -> None:
-        """Let one operation arrive."""
+        """Offer one operation to a VM."""
         self.offered[vm] += 1
         if self.ledgers[vm].admit(RULE, self.parts[vm], now):
             self.admitted.append((now, vm))
@@ -31,14 +31,14 @@
             self.report(vm, now)
 
     def report(self, vm: int, now: float) -> None:
-        """Tell whoever hears this VM."""
+        """Send a VM's counters to the VMs that it can reach."""
         usages = self.ledgers[vm].take_report(True, now)
         for other, ledger in enumerate(self.ledgers):
-            if other != vm and self.hears[other][vm]:
+            if other != vm and self.receives_from[other][vm]:
                 ledger.note_peer(f"vm-{vm}", 1, usages, now)
 
     def play(self, seconds: float, rates: list[float], seed: int) -> None:
-        """Let operations arrive at each VM at a rate."""
+        """Offer operations to each VM at its rate."""
         random = Random(seed)
         steps = int(seconds / STEP_S)
         for step in range(steps):
@@ -46,12 +46,12 @@
             for vm, rate in enumerate(rates):
                 if random.random() < rate * STEP_S:
                     self.offer(vm, now)
-            if step % int(BEAT_S / STEP_S) == 0:
+            if step % int(HEARTBEAT_S / STEP_S) == 0:
                 for vm in range(len(rates)):
                     self.report(vm, now)
 
     def most_in_a_window(self) -> int:
-        """Return the most admitted in any five seconds."""
+        """Return the largest number admitted in any five seconds."""
         times = [now for now, _ in self.admitted]
         return max(
             sum(start <= now < start + WINDOW_S for now in times)
@@ -59,10 +59,10 @@
         )
 
 
-def _flood(prompt: bool) -> Fleet:
-    """Return a fleet after a calm time and a second of flood."""
+def _flood(reports_at_once: bool) -> Fleet:
+    """Return a fleet after ten seconds of low load and one of flood."""
     fleet = Fleet(6)
-    if not prompt:
+    if not reports_at_once:
         for ledger in fleet.ledgers:
             ledger.is_report_due = lambda organisation: False
     fleet.play(10.0, [RULE.rate / 12.0] * 6, seed=3)
@@ -71,7 +71,7 @@
         for vm in range(6):
             fleet.offer(vm, now)
             fleet.offer(vm, now)
-        if (step + 1) % int(BEAT_S / STEP_S) == 0:
+        if (step + 1) % int(HEARTBEAT_S / STEP_S) == 0:
             for vm in range(6):
                 fleet.report(vm, now)
     return fleet
@@ -79,19 +79,23 @@
 
 class FloodTest(TestCase):
     def test_a_flood_after_a_calm_time(self) -> None:
-        """An organisation that was calm sends sixty times its rate.
+        """An organisation with a low load sends sixty times its rate.
 
-        Its bucket is full at every VM. Until the VMs hear of each other
-        each of them gives the whole of it away, and the members get
-        several times what was granted.
+        Its bucket is full at every VM. Until the VMs receive each
+        other's reports each of them spends the whole bucket, and the
+        members get several times the load that was granted.
         """
         allowed = (RULE.rate * WINDOW_S + RULE.burst) * 1.1
-        self.assertLess(_flood(prompt=True).most_in_a_window(), allowed)
-        self.assertGreater(_flood(prompt=False).most_in_a_window(), allowed)
+        self.assertLess(
+            _flood(reports_at_once=True).most_in_a_window(), allowed
+        )
+        self.assertGreater(
+            _flood(reports_at_once=False).most_in_a_window(), allowed
+        )
 
 
 class PeerTest(TestCase):
-    """Counters of a VM that starts again, and of one that is gone."""
+    """Counters of a VM that restarts, and of one that is removed."""
 
     def _ledger(self) -> UsageLedger:
         ledger = UsageLedger(0.0)
@@ -107,34 +111,34 @@
         return left
 
     def test_a_restart_counts_anew(self) -> None:
-        """A VM starts again, and a datagram of before comes late.
+        """A VM restarts, and a datagram from before arrives late.
 
-        Taken for news it would be charged once more, and callers would
-        be refused within their rate.
+        If it were applied it would be charged a second time, and callers
+        would be refused within their rate.
         """
         before = (Usage(RULE.name, 500, 500),)
         cases = (
-            ("first word", [(1, before)], 19),
+            ("first report", [(1, before)], 19),
             ("grows", [(1, before), (1, (Usage(RULE.name, 505, 505),))], 14),
-            ("started again", [(1, before), (2, (Usage("org", 3, 3),))], 19),
+            ("restarted", [(1, before), (2, (Usage("org", 3, 3),))], 19),
             (
-                "late word of before",
+                "late report from before",
                 [(2, before), (1, (Usage("org", 900, 900),))],
                 19,
             ),
         )
-        for name, words, expected in cases:
+        for name, entries, expected in cases:
             with self.subTest(name):
                 ledger = self._ledger()
-                for boot, usages in words:
+                for boot, usages in entries:
                     ledger.note_peer("vm-2", boot, usages, 100.0)
                 self.assertEqual(expected, self._left(ledger))
 
     def test_restarts_leave_nothing_behind(self) -> None:
-        """A VM starts again a hundred times.
+        """A VM restarts a hundred times.
 
-        Each start's counters would stay for good, and memory would grow
-        with every restart in the fleet.
+        If the counters of each start were kept, memory would grow with
+        every restart in the fleet.
         """
         ledger = self._ledger()
         for boot in range(100):
@@ -149,8 +153,8 @@
     def test_no_window_holds_more_than_rate_and_burst(self) -> None:
         """An organisation sends ten times its rate through six VMs.
 
-        Each of them knows of the others' admissions only by reports. All
-        together may serve rate and burst and a tenth more.
+        Each VM learns the others' admissions only from reports. All
+        together may admit at most rate and burst and a tenth more.
         """
         allowed = (RULE.rate * WINDOW_S + RULE.burst) * 1.1
         cases = (
@@ -166,11 +170,11 @@
                 served = len(fleet.admitted)
                 self.assertGreater(served, RULE.rate * 20.0 * 0.9)
 
-    def test_who_is_refused_is_told_a_wait_that_holds(self) -> None:
+    def test_refused_callers_get_a_sufficient_retry_delay(self) -> None:
         """An organisation sends ten times its rate through six VMs.
 
-        A caller that is told to come back at once is refused again, and
-        its tries add to the flood.
+        With too short a retry delay a caller is refused again, and its
+        retries add to the flood.
         """
         fleet = Fleet(6)
         fleet.play(20.0, [34.0] * 6, seed=7)
@@ -178,7 +182,7 @@
         while ledger.admit(RULE, 1.0, 20.0):
             pass
         wait_s = ledger.wait_s(RULE, 1.0)
-        # A sixth of 20 a second: a token each 0.3 s.
+        # A sixth of 20 a second: one token every 0.3 s.
         self.assertGreater(wait_s, 0.05)
         self.assertFalse(ledger.admit(RULE, 1.0, 20.0 + wait_s * 0.5))
         self.assertLess(wait_s, 1.0)
@@ -191,8 +195,8 @@
     def test_callers_of_all_vms_are_served_alike(self) -> None:
         """Two and a half times the rate, unevenly spread.
 
-        Where whoever sees a token first gets it, callers of one VM are
-        refused three times as often as those of another.
+        If the VM that sees a token first spent it, callers of one VM
+        would be refused three times as often as those of another.
         """
         fleet = Fleet(4)
         fleet.play(60.0, [25.0, 12.0, 8.0, 5.0], seed=5)
@@ -203,23 +207,24 @@
         self.assertLess(max(shares) - min(shares), 0.08)
 
     def test_a_cut_fleet_keeps_to_the_rate(self) -> None:
-        """Two halves can't hear each other while callers press on.
+        """A partition separates two halves of the fleet under load.
 
-        Each half uses its part; the rate holds for both together.
+        Each half uses its part of the rate; both together must not
+        exceed it.
         """
         fleet = Fleet(4)
         fleet.parts = [0.5] * 4
         for vm in range(4):
             for other in range(4):
-                fleet.hears[vm][other] = vm // 2 == other // 2
+                fleet.receives_from[vm][other] = vm // 2 == other // 2
         fleet.play(20.0, [50.0] * 4, seed=9)
         allowed = (RULE.rate * WINDOW_S + RULE.burst) * 1.1
         self.assertLess(fleet.most_in_a_window(), allowed)
 
     def test_reports_may_be_repeated_late_or_lost(self) -> None:
-        """Datagrams are lost, doubled and overtake each other.
+        """Datagrams are lost, duplicated and reordered.
 
-        Counters that only grow make up for all of it.
+        Because counters never decrease, a later report makes up for it.
         """
         sender = UsageLedger(0.0)
         reader = UsageLedger(0.0)
@@ -245,10 +250,10 @@
                 )
 
     def test_what_reached_no_member_costs_nothing(self) -> None:
-        """A primary is lost, and callers try again and again.
+        """A primary is lost, and callers retry repeatedly.
 
-        Were each try counted, they would be refused for their rate once
-        another primary is there, at every VM that hears of the tries.
+        If each attempt counted, they would be over their rate once
+        another primary is available, at every VM that gets the reports.
         """
         tried, other = UsageLedger(0.0), UsageLedger(0.0)
         other.admit(RULE, 1.0, 0.0)
@@ -256,7 +261,7 @@
         before_s = other.wait_s(RULE, 1.0)
         for _ in range(50):
             if tried.admit(RULE, 1.0, 0.0):
-                tried.give_back(RULE.name)
+                tried.refund(RULE.name)
         other.note_peer("t", 1, tried.take_report(True, 0.0), 0.0)
         self.assertTrue(tried.admit(RULE, 1.0, 0.0))
         self.assertEqual(before_s, other.wait_s(RULE, 1.0))
@@ -264,7 +269,7 @@
     def test_many_admissions_are_reported_at_once(self) -> None:
         ledger = UsageLedger(0.0)
         due = []
-        for _ in range(REPORT_AFTER):
+        for _ in range(REPORT_AFTER_ADMISSIONS):
             ledger.admit(RULE, 1.0, 0.0)
             due.append(ledger.is_report_due(RULE.name))
-        self.assertEqual([False] * (REPORT_AFTER - 1) + [True], due)
+        self.assertEqual([False] * (REPORT_AFTER_ADMISSIONS - 1) + [True], due)
--- a/redwingpost/rates/tests/test_views.py
+++ b/redwingpost/rates/tests/test_views.py
@@ -1,4 +1,4 @@
-"""VMs' views of one bucket: played loads, judged by what is served."""
+"""VMs' estimates of one bucket, under simulated loads."""
 
 from random import Random
 from typing import NamedTuple
@@ -8,8 +8,8 @@
 from redwingpost.rates.usage import UsageLedger
 
 STEP_S = 0.01
-STEPS_A_BEAT = 25
-BEATS_TO_FULL = 10
+STEPS_PER_HEARTBEAT = 25
+HEARTBEATS_PER_FULL_REPORT = 10
 WINDOW_S = 5.0
 
 
@@ -18,14 +18,14 @@
 
 
 class Load(NamedTuple):
-    """Operations a second at each VM, and the seed of their moments."""
+    """Operations a second at each VM, and the seed of their times."""
 
     per_s: list[float]
     seed: int
 
 
 class Fleet:
-    """Ledgers whose heartbeats are spread over the interval."""
+    """Ledgers whose heartbeats are spread over the heartbeat interval."""
 
     def __init__(self, vms: int, seed: int) -> None:
         self._random = Random(seed)
@@ -35,18 +35,18 @@
         self.admitted: list[tuple[float, int]] = []
         self.offered: list[tuple[float, int]] = []
         self._phases = [
-            self._random.randrange(STEPS_A_BEAT) for _ in range(vms)
+            self._random.randrange(STEPS_PER_HEARTBEAT) for _ in range(vms)
         ]
 
     def restart(self, vm: int, now: float) -> None:
-        """Let a VM lose all that it knew."""
+        """Restart a VM, which loses all its state."""
         self.ledgers[vm] = UsageLedger(now)
         self.boots[vm] += 1
 
     def play(
         self, begin: float, end: float, load: Load, rule: OrganisationRule
     ) -> None:
-        """Let operations arrive and heartbeats go round."""
+        """Offer operations and send heartbeats from ``begin`` to ``end``."""
         for step in range(round(begin / STEP_S), round(end / STEP_S)):
             now = step * STEP_S
             for vm, per_s in enumerate(load.per_s):
@@ -54,22 +54,24 @@
                 for _ in range(arrivals):
                     self._offer(vm, rule, now)
             for vm in range(self.vms):
-                if step % STEPS_A_BEAT == self._phases[vm]:
-                    beat = step // STEPS_A_BEAT
-                    self._report(vm, beat % BEATS_TO_FULL == 0, now)
+                if step % STEPS_PER_HEARTBEAT == self._phases[vm]:
+                    beat = step // STEPS_PER_HEARTBEAT
+                    self._report(
+                        vm, beat % HEARTBEATS_PER_FULL_REPORT == 0, now
+                    )
 
     def share(self, vm: int, since: float) -> float:
-        """Return the part of a VM's operations that was admitted."""
+        """Return the fraction of a VM's operations that was admitted."""
         offered = sum(at >= since and by == vm for at, by in self.offered)
         served = sum(at >= since and by == vm for at, by in self.admitted)
         return served / offered
 
     def admitted_between(self, begin: float, end: float) -> int:
-        """Return the operations admitted in a span."""
+        """Return the number of operations admitted in a time span."""
         return sum(begin <= at < end for at, _ in self.admitted)
 
     def most_in_a_window(self) -> int:
-        """Return the most admitted in any window."""
+        """Return the largest number admitted in any window."""
         return max(
             self.admitted_between(at, at + WINDOW_S) for at, _ in self.admitted
         )
@@ -94,11 +96,11 @@
     def test_a_lowered_rate_is_shared_alike(self) -> None:
         """An operator lowers a rate far below what is sent.
 
-        Each VM sees the change at another moment, so that their views of
-        the bucket differ. While nothing brings them together, callers of
-        one VM get five times as much as those of another, for as long as
-        the organisation is over its rate: 0.05 to 0.27 of what was sent,
-        0.16 to 0.20 with views that are told.
+        Each VM applies the change at a different time, so that their
+        estimates of the bucket differ. Unless the estimates converge,
+        callers of one VM get five times as much as those of another for
+        as long as the organisation is over its rate: 0.05 to 0.27 of what
+        was sent, as opposed to 0.16 to 0.20 with reported estimates.
         """
         for seed in range(6):
             with self.subTest(seed=seed):
@@ -116,11 +118,11 @@
                 self.assertLess(served, 11.0 * 50.0 * 1.02)
 
     def test_a_fleet_that_starts_again_serves_within_the_rate(self) -> None:
-        """All VMs lose power and start; those who waited come at once.
+        """All VMs lose power and restart; waiting callers retry at once.
 
-        If each bucket began nearly empty at its first operation, a VM
-        would refuse callers that are below the rate, taken over the time
-        in which nobody was served.
+        If each bucket were nearly empty at its first operation, a VM
+        would refuse callers that are below the rate when the time without
+        service is included.
         """
         cases = (("once up", 0.5), ("long after", 12.0))
         for name, first_s in cases:
@@ -133,11 +135,10 @@
                 self.assertEqual(len(fleet.offered), len(fleet.admitted))
 
     def test_restarts_in_a_flood_give_nothing_away(self) -> None:
-        """VMs are stopped in turn while a flood is held to its rate.
+        """VMs restart in turn during a flood that is limited to its rate.
 
-        Each that starts again knows nothing of what was used. If it took
-        its bucket for filled, the members would get a burst more with
-        each restart.
+        A restarted VM has no record of the usage. If its bucket started
+        full, the members would get another burst with each restart.
         """
         rule = _rule(40.0)
         load = Load([30.0] * 6, 5)
--- a/redwingpost/rates/tests/test_waiting.py
+++ b/redwingpost/rates/tests/test_waiting.py
@@ -1,47 +1,47 @@
-"""Tests of the line of requests that wait for tokens."""
+"""Tests of the queue of requests that wait for tokens."""
 
 from unittest import TestCase
 
-from redwingpost.rates.waiting import RateLine, WAIT_S, Waiter
-from redwingpost.rates.bucket import WHOLE
-from redwingpost.rates.ledger import Base, Ledger
+from redwingpost.rates.waiting import WaitQueue, WAIT_S, Waiter
+from redwingpost.rates.bucket import TOTAL_PARTS
+from redwingpost.rates.ledger import BaseParts, Ledger
 
-_STATEMENT = 1_000_000
+_STATEMENT_MICROTOKENS = 1_000_000
 _RATE = 100.0
 _BURST = 50.0
 
 
-def _line(parts):
+def _wait_queue(parts):
     ledger = Ledger(_RATE, _BURST, 0.0)
-    ledger.set_base(Base(parts, 0.0, 1e9), 0.0)
-    return RateLine(ledger)
+    ledger.set_base(BaseParts(parts, 0.0, 1e9), 0.0)
+    return WaitQueue(ledger)
 
 
 class FloodTest(TestCase):
-    def test_a_flood_does_not_fill_the_line_while_a_lender_is_asked(self):
+    def test_a_flood_does_not_fill_the_queue_while_a_loan_is_pending(self):
         # One organisation sends ten times its rate through one VM. If
-        # all of it waits for the lenders' answers, the VM spends its
-        # time on the line and its other callers find it closed.
-        line = _line(WHOLE // 6)
+        # all its requests wait for the lenders' answers, the VM spends
+        # its time on the queue and fails its other callers.
+        queue = _wait_queue(TOTAL_PARTS // 6)
         refused = 0
         for number in range(5000):
-            line.add(Waiter(_STATEMENT, 10.0, number))
-            refused += len(line.refuse(0.5, may_gain=True))
-        self.assertLessEqual(len(line), _BURST + _RATE * WAIT_S)
-        self.assertEqual(len(line) + refused, 5000)
+            queue.add(Waiter(_STATEMENT_MICROTOKENS, 10.0, number))
+            refused += len(queue.refuse(0.5, loan_pending=True))
+        self.assertLessEqual(len(queue), _BURST + _RATE * WAIT_S)
+        self.assertEqual(len(queue) + refused, 5000)
 
     def test_a_burst_of_the_whole_fleets_tokens_may_wait(self):
-        # A page of a small organisation asks for all its tokens at once
-        # and at one VM; they are being lent.
-        line = _line(WHOLE // 6)
+        # A page of a small organisation needs all its tokens at once at
+        # one VM, while a lender's answer is pending.
+        queue = _wait_queue(TOTAL_PARTS // 6)
         for number in range(int(_BURST)):
-            line.add(Waiter(_STATEMENT, 10.0, number))
-        self.assertEqual(line.refuse(0.5, may_gain=True), [])
+            queue.add(Waiter(_STATEMENT_MICROTOKENS, 10.0, number))
+        self.assertEqual(queue.refuse(0.5, loan_pending=True), [])
 
     def test_refusals_name_the_time(self):
-        line = _line(WHOLE)
+        queue = _wait_queue(TOTAL_PARTS)
         for number in range(200):
-            line.add(Waiter(_STATEMENT, 10.0, number))
-        refused = line.refuse(0.0, may_gain=False)
+            queue.add(Waiter(_STATEMENT_MICROTOKENS, 10.0, number))
+        refused = queue.refuse(0.0, loan_pending=False)
         self.assertEqual(len(refused), 200 - int(_RATE * WAIT_S))
-        self.assertTrue(all(one.retry_after_ms > 0 for one in refused))
+        self.assertTrue(all(entry.retry_after_ms > 0 for entry in refused))
--- a/redwingpost/rates/waiting.py
+++ b/redwingpost/rates/waiting.py
@@ -1,37 +1,39 @@
-"""Requests of one organisation that wait a moment for tokens.
-
-Load pattern: an organisation sends at nine tenths of its rate, at
-random; for a few milliseconds its tokens at one VM are spent, while they
-are being borrowed or refilled. Without a short wait those requests are
-refused although they are within the rate. With a long one an
-organisation far over its rate learns of it late, and ties up connections
-while it waits.
-
-A request waits only while its tokens are known to come within `WAIT_S`,
-or while an answer of a lender is out. Otherwise it is refused at once,
-with the time after which its tokens will be there.
+"""Queue of one organisation's requests that wait briefly for tokens.
+
+Load pattern: an organisation sends at nine tenths of its rate with
+random arrivals; for a few milliseconds its tokens at one VM are spent,
+until more are borrowed or refilled. Without a short wait such requests
+are refused although they are within the rate. With a long wait an
+organisation far over its rate is refused late and occupies connections
+meanwhile.
+
+A request waits only while its tokens will be available within `WAIT_S`,
+or while a lender's answer is pending. Otherwise it is refused at once,
+with the time after which its tokens will be available.
 """
 
 from collections import deque
 from math import ceil, floor, inf
 from typing import Any, NamedTuple
 
-from redwingpost.rates.bucket import WHOLE
+from redwingpost.rates.bucket import TOTAL_PARTS
 from redwingpost.rates.ledger import Ledger
 
-#: Seconds that a request may wait for tokens that are known to come. A
-#: burst of the whole fleet's tokens needs some rounds of loans until they
-#: lie where its requests came in; a tenth of a second ended 37 of 5,030
-#: requests of yuelan's burst, four tenths 27. Callers far over their rate
-#: are refused at once whatever this figure: nothing comes for them.
+#: Seconds that a request may wait for tokens that will be available. A
+#: burst of the organisation's total tokens takes several rounds of loans
+#: until the tokens are at the VM where the requests arrived; 0.1 s ended
+#: 37 of 5,030 requests of yuelan's burst, 0.4 s ended 27. Callers far
+#: over their rate are refused at once whatever the value, because no
+#: tokens become available for them.
 WAIT_S = 0.4
 
-#: Milliseconds told to a caller whose tokens can't come at this VM.
+#: Retry delay in milliseconds for a caller whose request needs more
+#: tokens than the parts on this VM can hold.
 _UNKNOWN_RETRY_MS = 1000
 
 
 class Waiter(NamedTuple):
-    """A waiting request: micro-tokens, and its owner's handle."""
+    """A waiting request: its micro-tokens, deadline and caller's handle."""
 
     tokens: int
     deadline_at: float
@@ -39,19 +41,21 @@
 
 
 class Refused(NamedTuple):
-    """A waiter that won't be served, and when to come back."""
+    """A refused request and the delay before a retry (milliseconds)."""
 
     waiter: Waiter
     retry_after_ms: int
 
 
-class RateLine:
-    """First come, first served, per organisation.
+class WaitQueue:
+    """First-in, first-out queue of one organisation's requests.
+
+    ``waiting`` is the sum of the queued requests' micro-tokens.
 
     Parameters
     ----------
     ledger : Ledger
-        Where the tokens come from.
+        The ledger whose tokens the requests spend.
     """
 
     def __init__(self, ledger: Ledger) -> None:
@@ -63,16 +67,22 @@
         return len(self._waiters)
 
     def spend(self, tokens: int, now: float) -> bool:
-        """Serve a request at once, if nobody waits before it."""
+        """Spend tokens for a request if no other request is waiting."""
         return not self._waiters and self._ledger.spend(tokens, now)
 
     def add(self, waiter: Waiter) -> None:
-        """Let a request wait."""
+        """Append a request to the queue."""
         self._waiters.append(waiter)
         self.waiting += waiter.tokens
 
     def serve(self, now: float) -> list[Waiter]:
-        """Return the waiters whose tokens are there; they are spent."""
+        """Spend tokens for the first requests in the queue.
+
+        Returns
+        -------
+        list of Waiter
+            The requests served; they are removed from the queue.
+        """
         served = []
         while self._waiters:
             first = self._waiters[0]
@@ -81,27 +91,29 @@
             served.append(self._pop())
         return served
 
-    def refuse(self, now: float, may_gain: bool) -> list[Refused]:
-        """Take out and return the waiters that won't be served in time.
+    def refuse(self, now: float, loan_pending: bool) -> list[Refused]:
+        """Remove and return the requests that can't be served in time.
 
         Parameters
         ----------
         now : float
             Seconds.
-        may_gain : bool
-            True while a lender's answer is out: then what the whole
-            fleet's tokens could serve in time may wait for it.
+        loan_pending : bool
+            True while a lender's answer is pending. Then the requests
+            that the tokens of all VMs could serve in time keep waiting.
         """
-        most = self._most_in_time()
+        max_tokens = self._max_tokens_in_time()
         kept: deque[Waiter] = deque()
         refused = []
         ahead = 0
         for waiter in self._waiters:
             wait_s = self._ledger.seconds_until(ahead + waiter.tokens, now)
             limit_s = min(WAIT_S, waiter.deadline_at - now)
-            beyond_all = ahead + waiter.tokens > most
-            hopeless = wait_s > limit_s and (beyond_all or not may_gain)
-            if hopeless or waiter.deadline_at <= now:
+            exceeds_all_vms = ahead + waiter.tokens > max_tokens
+            is_too_late = wait_s > limit_s and (
+                exceeds_all_vms or not loan_pending
+            )
+            if is_too_late or waiter.deadline_at <= now:
                 refused.append(Refused(waiter, self._retry_ms(wait_s)))
             else:
                 kept.append(waiter)
@@ -110,23 +122,23 @@
         self.waiting = ahead
         return refused
 
-    def _most_in_time(self) -> int:
-        """Return the micro-tokens that all VMs together could bring.
+    def _max_tokens_in_time(self) -> int:
+        """Return the micro-tokens that all VMs could supply in time.
 
         A flood far over the rate arrives faster than lenders answer.
-        Without this bound all of it waited for each answer, held its
-        connections meanwhile and kept the VM busy with its own line.
+        Without this bound all its requests wait for each answer, hold
+        connections meanwhile and keep the VM busy with its queue.
         """
         bucket = self._ledger.bucket
-        return floor((bucket.burst + bucket.rate * WAIT_S) * WHOLE)
+        return floor((bucket.burst + bucket.rate * WAIT_S) * TOTAL_PARTS)
 
     def discard(self, handle: Any) -> None:
-        """Drop a waiter whose caller has gone."""
+        """Remove a request whose caller no longer waits."""
         self._waiters = deque(w for w in self._waiters if w.handle != handle)
         self.waiting = sum(w.tokens for w in self._waiters)
 
     def next_serve_s(self, now: float) -> float:
-        """Return the seconds until the first waiter can be served."""
+        """Return the seconds until the first request can be served."""
         if not self._waiters:
             return inf
         return self._ledger.seconds_until(self._waiters[0].tokens, now)
--- a/redwingpost/wire/digest.py
+++ b/redwingpost/wire/digest.py
@@ -23,7 +23,7 @@
     >>> cells = (CellReport("a/0", 5, frozenset({1, 2}), 6, 3, "ip", 4),)
     >>> health = {"m": MergedHealth(1, 0, 2, (700,), 2)}
     >>> samples = (SharedSample("m", Position(3, 9), 120),)
-    >>> usages = UsageTable.of((VmUsage("w", 7, Usage("o", 5, 6)),))
+    >>> usages = UsageTable.from_usages((VmUsage("w", 7, Usage("o", 5, 6)),))
     >>> digest = Digest(
     ...     "v", 9, True, cells, health, False, samples, 8, {4: Echo(5, 6)},
     ...     usages,
--- a/redwingpost/wire/heartbeat.py
+++ b/redwingpost/wire/heartbeat.py
@@ -58,7 +58,7 @@
     >>> sum(len(part.rows) for part in parts)
     300
     """
-    told = digest._replace(usages=UsageTable.of(usages))
+    told = digest._replace(usages=UsageTable.from_usages(usages))
     datagram = pack_digest(told)
     if len(datagram) <= MAX_DATAGRAM_BYTES or not usages:
         yield datagram
