--- a/redwingpost/agent/store_watch.py
+++ b/redwingpost/agent/store_watch.py
@@ -145,7 +145,7 @@
         now = self._context.clock.now()
         self.store_away = sent.is_error()
         if sent.is_error():
-            self._lease.failed()
+            self._lease.outcome_unknown()
         elif sent.ok.committed:
             self._lease.committed(sent.ok.versions[0])
         else:
--- a/redwingpost/leases/__init__.py
+++ b/redwingpost/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases on rows of the table service: who may act, and until when."""
+"""Leases in rows of the table service: the right to act until an expiry."""
--- a/redwingpost/leases/duty.py
+++ b/redwingpost/leases/duty.py
@@ -1,28 +1,30 @@
-"""Who may order promotions: a row with a holder, a fence and an end.
+"""The duty: a lease on the right to order promotions.
 
-Two VMs that both order promotions make two primaries. The row changes
-under a condition on its version, so of two takers one wins. The fence
-grows with every change of holder and travels with each order.
+If two VMs ordered promotions at the same time, a group could get two
+primaries. The row holds the holder, a fence and an expiry. It is written
+under a condition on its version, so that of two claims one succeeds. The
+fence grows with every change of holder and is sent with each order.
 
-The end is counted on the table service's own steady clock; the holder
-counts from before it asked, on a clock that runs through suspensions, so
-for the holder the duty always ends first (``redwingpost.leases.lease``).
+The expiry is a time on the table service's own monotonic clock. The
+holder counts from before it sent its claim, on a clock that runs through
+suspensions, so that the duty expires at the holder first
+(``redwingpost.leases.lease``).
 """
 
 from typing import Any, NamedTuple
 
-#: Milliseconds for which the duty is taken: a takeover takes about two
-#: seconds and must not lose the duty half way; a holder that dies delays
-#: the next takeover by the rest.
+#: Milliseconds for which the duty is claimed. A takeover takes about two
+#: seconds and must not lose the duty half way; after a holder crashes,
+#: the next takeover has to wait for the remainder.
 DUTY_MS = 6000
 
-#: Part of the duty that must be left before an order is sent: an order
-#: may be under way for a second and must not arrive after the end.
+#: Seconds of validity that must be left when an order is sent: an order
+#: may be in transit for a second and must not arrive after the expiry.
 ORDER_MARGIN_S = 1.5
 
 
 class DutyRow(NamedTuple):
-    """What the table service holds; ``until_ms`` is on its clock."""
+    """The stored row; ``until_ms`` is on the table service's clock."""
 
     holder: str
     fence: int
@@ -34,7 +36,7 @@
 
     @classmethod
     def from_value(cls, value: Any) -> "DutyRow":
-        """Read a row's value; one that can't be read is nobody's.
+        """Parse a row's value; without a holder if it can't be parsed.
 
         Examples
         --------
@@ -54,32 +56,35 @@
 
 
 class HeldDuty(NamedTuple):
-    """The duty as its holder may use it; ``until`` on its own clock."""
+    """The duty at its holder.
+
+    ``valid_until`` is in seconds on the holder's clock.
+    """
 
     fence: int
-    until: float
+    valid_until: float
 
     def allows_order(self, now: float) -> bool:
-        """Say whether an order may still be sent at ``now`` (seconds).
+        """Return whether an order may be sent at ``now`` (seconds).
 
         Examples
         --------
-        >>> HeldDuty(3, until=10.0).allows_order(8.0)
+        >>> HeldDuty(3, valid_until=10.0).allows_order(8.0)
         True
-        >>> HeldDuty(3, until=10.0).allows_order(9.0)
+        >>> HeldDuty(3, valid_until=10.0).allows_order(9.0)
         False
         """
-        return now + ORDER_MARGIN_S < self.until
+        return now + ORDER_MARGIN_S < self.valid_until
 
 
 def claim(row: DutyRow, vm: str, now_ms: int) -> DutyRow | None:
-    """Return the row by which a VM takes or keeps the duty.
+    """Return the row to write for a VM to claim or renew the duty.
 
     Returns
     -------
     DutyRow or None
-        None while another VM holds it. A new holder, and one whose time
-        had ended, gets a higher fence.
+        None while another VM holds the duty. The fence is increased for
+        a new holder, and for the same holder after an expiry.
 
     Examples
     --------
@@ -90,8 +95,8 @@
     >>> claim(DutyRow("a", 4, 1100), "a", now_ms=1000).fence
     4
     """
-    is_over = now_ms >= row.until_ms
-    if row.holder != vm and not is_over:
+    has_ended = now_ms >= row.until_ms
+    if row.holder != vm and not has_ended:
         return None
-    fence = row.fence + 1 if is_over or row.holder != vm else row.fence
+    fence = row.fence + 1 if has_ended or row.holder != vm else row.fence
     return DutyRow(vm, fence, now_ms + DUTY_MS)
--- a/redwingpost/leases/keeper.py
+++ b/redwingpost/leases/keeper.py
@@ -1,12 +1,12 @@
-"""The life of one lease: claimed, renewed, lost, taken over.
+"""State machine of one lease: claim, renewal, loss and takeover.
 
-Answers the loss of a lease's holder, its pause, and answers of the table
-service that got lost on the way. The keeper says what to do next and
-takes in what came of it; it does no input or output and reads no clock.
+Handles the crash of a lease's holder, its pause, and lost answers of the
+table service. The keeper returns the next step and is given the result;
+it does no input or output and reads no clock.
 
-A holder that wakes from a pause asks ``is_held(now)`` before its first
-action and learns that its lease has lapsed, whatever it believed when it
-fell asleep.
+A holder that resumes after a pause must call ``is_held(now)`` before its
+first action: its lease may have expired during the pause, although its
+last step before the pause was within the lease.
 """
 
 from enum import Enum
@@ -18,13 +18,13 @@
 )
 from redwingpost.ports import Condition, Row, Write
 
-#: Share of the lease after which it is renewed: a third leaves time for
-#: two more attempts before it lapses.
-RENEW_SHARE = 1 / 3
+#: Fraction of its validity after which a lease is renewed: a third
+#: leaves time for two more attempts before it expires.
+RENEW_FRACTION = 1 / 3
 
 
 class LeaseStep(Enum):
-    """What to do next about a lease."""
+    """Next step for a lease; ``REST`` means that nothing is due."""
 
     REST = "rest"
     READ = "read"
@@ -32,18 +32,18 @@
 
 
 class LeaseKeeper:
-    """One VM's part in one lease.
+    """Claims and renews one lease for one VM.
 
     Parameters
     ----------
     table, key : str
-        The lease's row.
+        Table and key of the lease's row.
     vm : str
-        This VM.
+        Name of this VM.
     incarnation : int
-        This VM's incarnation.
+        Incarnation of this VM.
     valid_s : float
-        Seconds that a claim or renewal lasts.
+        Validity of a claim or renewal in seconds.
 
     Examples
     --------
@@ -67,77 +67,77 @@
         self._vm = vm
         self._incarnation = incarnation
         self._valid_s = valid_s
-        self._known = False
+        self._is_row_known = False
         self._version = 0
         self._row: LeaseRow | None = None
         self._free_at = float("-inf")
-        self._held_from = float("-inf")
+        self._renewed_at = float("-inf")
         self._held_until = float("-inf")
-        self._requested_at = float("-inf")
-        self._unanswered_from = float("inf")
+        self._claim_sent_at = float("-inf")
+        self._first_unanswered_at = float("inf")
 
     @property
     def term(self) -> int:
-        """The term of the row last seen; 0 before any."""
+        """The term in the last known row; 0 without a row."""
         return self._row.term if self._row else 0
 
     @property
     def holder(self) -> str:
-        """The VM that the row last seen names; empty before any."""
+        """The holder in the last known row; empty without a row."""
         return self._row.vm if self._row else ""
 
     def is_held(self, now: float) -> bool:
-        """Say whether this VM may act on the lease at ``now``.
+        """Return whether this VM may act on the lease at ``now``.
 
-        Ask again before every action: the answer is only as good as
-        ``now`` is fresh.
+        Call this before every action with the current time: the lease
+        may expire between two actions.
         """
         return now < self._held_until
 
     def next_step(self, now: float, wanted: bool) -> LeaseStep:
-        """Return what to do at ``now``.
+        """Return the step that is due at ``now``.
 
         Parameters
         ----------
         now : float
             Seconds on this process's clock.
         wanted : bool
-            Whether this VM should hold the lease if it can. A VM that
-            holds it and should not lets it lapse.
+            Whether this VM should hold the lease if it can. If not, a
+            lease that it holds is left to expire.
         """
         if not wanted:
             return LeaseStep.REST
-        if not self._known:
+        if not self._is_row_known:
             return LeaseStep.READ
         if self.is_held(now):
-            renew_at = self._held_from + self._valid_s * RENEW_SHARE
+            renew_at = self._renewed_at + self._valid_s * RENEW_FRACTION
             return LeaseStep.CLAIM if now >= renew_at else LeaseStep.REST
         if now >= self._free_at:
             return LeaseStep.CLAIM
         return LeaseStep.READ
 
     def observe(self, row: Row | None, answered_at: float) -> None:
-        """Take in the row as the table service answered it.
+        """Record the row that the table service returned.
 
-        A row that hasn't changed goes on lapsing from when it was first
-        seen. One that names this VM's incarnation is the trace of a
-        claim whose answer was lost: it counts from the first such request.
-        Any of several unanswered ones may have written the row, and
-        others may have seen it since then.
+        An unchanged row still expires relative to the time when it was
+        first seen. A row with this VM's incarnation was written by a
+        claim whose answer was lost. Its validity counts from the first
+        unanswered claim: any of the unanswered claims may have written
+        the row, and other VMs may have seen it since then.
         """
         version = row.version if row else 0
-        if self._known and version == self._version:
+        if self._is_row_known and version == self._version:
             return
-        self._known = True
+        self._is_row_known = True
         self._version = version
         self._row = LeaseRow.from_value(row.value) if row else None
         if self._row is None:
             self._free_at = float("-inf")
-        elif self._is_mine(self._row):
-            since = min(self._unanswered_from, self._requested_at)
-            self._hold(since, self._row.valid_s)
+        elif self._is_own(self._row):
+            held_from = min(self._first_unanswered_at, self._claim_sent_at)
+            self._hold(held_from, self._row.valid_s)
         else:
-            self._unanswered_from = float("inf")
+            self._first_unanswered_at = float("inf")
             self._held_until = float("-inf")
             valid_s = self._row.valid_s
             self._free_at = others_wait_until(answered_at, valid_s)
@@ -146,12 +146,12 @@
         self, now: float
     ) -> tuple[tuple[Condition, ...], tuple[Write, ...]]:
         """Return the transaction that claims or renews the lease."""
-        self._requested_at = now
-        mine = self._row is not None and self._is_mine(self._row)
+        self._claim_sent_at = now
+        is_own = self._row is not None and self._is_own(self._row)
         self._row = LeaseRow(
             vm=self._vm,
             incarnation=self._incarnation,
-            term=self.term if mine else self.term + 1,
+            term=self.term if is_own else self.term + 1,
             valid_s=self._valid_s,
         )
         condition = Condition(self._table, self._key, self._version)
@@ -161,10 +161,10 @@
     def release(
         self,
     ) -> tuple[tuple[Condition, ...], tuple[Write, ...]]:
-        """Return the transaction that gives the lease back.
+        """Return the transaction that releases the lease.
 
-        The holder stops acting on it here and now, whatever becomes of
-        the transaction. The row stays, so that the term goes on growing.
+        From this call on the lease is not held, whatever the outcome of
+        the transaction. The row is kept, so that the term keeps growing.
         """
         self._held_until = float("-inf")
         condition = Condition(self._table, self._key, self._version)
@@ -172,29 +172,31 @@
         return (condition,), (Write(self._table, self._key, row._asdict()),)
 
     def committed(self, version: int) -> None:
-        """Note that the claim took effect as ``version``."""
-        self._known = True
+        """Record that the claim was committed as ``version``."""
+        self._is_row_known = True
         self._version = version
-        self._unanswered_from = float("inf")
-        self._hold(self._requested_at, self._valid_s)
+        self._first_unanswered_at = float("inf")
+        self._hold(self._claim_sent_at, self._valid_s)
 
     def refused(self, row: Row | None, answered_at: float) -> None:
-        """Note that the claim lost to the row as it now stands."""
-        self._known = False
+        """Record that the claim was refused; ``row`` is the stored row."""
+        self._is_row_known = False
         self.observe(row, answered_at)
 
-    def failed(self) -> None:
-        """Note that the claim's answer is unknown: read before acting.
+    def outcome_unknown(self) -> None:
+        """Record that the claim got no answer; the next step is a read.
 
-        A lease that was held goes on until it lapses.
+        A lease that was held remains valid until it expires.
         """
-        self._known = False
-        self._unanswered_from = min(self._unanswered_from, self._requested_at)
+        self._is_row_known = False
+        self._first_unanswered_at = min(
+            self._first_unanswered_at, self._claim_sent_at
+        )
 
-    def _is_mine(self, row: LeaseRow) -> bool:
+    def _is_own(self, row: LeaseRow) -> bool:
         return (row.vm, row.incarnation) == (self._vm, self._incarnation)
 
     def _hold(self, requested_at: float, valid_s: float) -> None:
-        self._held_from = requested_at
+        self._renewed_at = requested_at
         self._held_until = holder_valid_until(requested_at, valid_s)
         self._free_at = self._held_until
--- a/redwingpost/leases/lease.py
+++ b/redwingpost/leases/lease.py
@@ -1,15 +1,15 @@
-"""Lease arithmetic over clocks that agree on nothing but their rate.
+"""Lease arithmetic for clocks that have only their rate in common.
 
-Answers holders that are paused, and store answers that come late. The
-holder counts its lease from before it sent the request, everybody else
-from after they saw the row; so whatever the requests took, the lease
-lapses at the holder first. Without that two VMs act on one lease for as
-long as an answer took. Clocks may differ by any amount; their rates may
-differ by ``CLOCK_RATE_ERROR``.
+Handles paused holders and late answers of the store. The holder counts
+its lease from before it sent the request, all other VMs from after they
+received the row. The lease therefore expires at the holder first,
+however long the requests take. Otherwise two VMs could act on the same
+lease for as long as an answer takes. Clocks may differ by any amount;
+their rates may differ by ``CLOCK_RATE_ERROR``.
 
 See Also
 --------
-redwingpost.leases.keeper : the life of one lease.
+redwingpost.leases.keeper : state machine of one lease.
 
 References
 ----------
@@ -19,16 +19,17 @@
 
 from typing import Any, NamedTuple
 
-#: NTP slews a clock by 500 ppm at most and crystals drift by less; ten
-#: times the sum of two such errors leaves room for a bad host.
+#: Largest relative difference of two clock rates. NTP slews a clock by
+#: 500 ppm at most and crystals drift by less; ten times the sum of two
+#: such errors leaves room for a faulty clock.
 CLOCK_RATE_ERROR = 0.01
 
 
 class LeaseRow(NamedTuple):
-    """What the table service holds of a lease.
+    """The stored row of a lease.
 
     ``term`` grows with each change of holder, so that messages of an
-    earlier holder can be told apart. ``valid_s`` is seconds.
+    earlier holder can be recognised. ``valid_s`` is in seconds.
     """
 
     vm: str
@@ -38,7 +39,7 @@
 
     @classmethod
     def from_value(cls, value: dict[str, Any]) -> "LeaseRow":
-        """Read a row's value.
+        """Parse a row's value; missing fields are empty or zero.
 
         Examples
         --------
@@ -54,7 +55,7 @@
 
 
 def holder_valid_until(requested_at: float, valid_s: float) -> float:
-    """Return until when the holder may act (seconds, its clock).
+    """Return the expiry at the holder (seconds on its clock).
 
     Examples
     --------
@@ -65,7 +66,7 @@
 
 
 def others_wait_until(answered_at: float, valid_s: float) -> float:
-    """Return from when others may take the lease (seconds, their clock).
+    """Return when another VM may claim the lease (seconds on its clock).
 
     Examples
     --------
--- a/redwingpost/leases/tests/test_duty.py
+++ b/redwingpost/leases/tests/test_duty.py
@@ -1,4 +1,4 @@
-"""Who holds the duty of promotions, through races and pauses."""
+"""Claims on the duty and its expiry, with races and pauses."""
 
 from unittest import TestCase
 
@@ -16,17 +16,17 @@
         row = DutyRow("a", 4, 1000)
         cases = (
             ("held by another", row, "b", 999, None),
-            ("over", row, "b", 1000, 5),
-            ("kept", row, "a", 500, 4),
-            ("own, but over", row, "a", 1000, 5),
+            ("expired", row, "b", 1000, 5),
+            ("renewed", row, "a", 500, 4),
+            ("own, but expired", row, "a", 1000, 5),
             ("first", DutyRow.from_value(None), "a", 7, 1),
         )
-        for name, known, vm, now_ms, fence in cases:
+        for name, current, vm, now_ms, fence in cases:
             with self.subTest(name):
-                wanted = claim(known, vm, now_ms)
-                self.assertEqual(fence, wanted.fence if wanted else None)
-                if wanted:
-                    self.assertEqual(now_ms + DUTY_MS, wanted.until_ms)
+                claimed = claim(current, vm, now_ms)
+                self.assertEqual(fence, claimed.fence if claimed else None)
+                if claimed:
+                    self.assertEqual(now_ms + DUTY_MS, claimed.until_ms)
 
     def test_rows_of_another_writer_are_nobodys(self) -> None:
         for value in (None, 3, {}, {"holder": "a"}, {"fence": "x"}):
@@ -34,12 +34,12 @@
                 self.assertEqual("", DutyRow.from_value(value).holder)
 
     def test_a_suspended_holder_orders_nothing(self) -> None:
-        """A VM is suspended between taking the duty and its order.
+        """A VM is suspended between claiming the duty and its order.
 
-        Another has the duty by the time it wakes; its order would carry
-        a fence that is lower than one already seen.
+        Another VM holds the duty when it resumes; its order would carry
+        a lower fence than the members have already seen.
         """
-        duty = HeldDuty(3, until=10.0)
+        duty = HeldDuty(3, valid_until=10.0)
         self.assertTrue(duty.allows_order(10.0 - ORDER_MARGIN_S - 0.1))
         self.assertFalse(duty.allows_order(10.0 - ORDER_MARGIN_S))
         self.assertFalse(duty.allows_order(20.0))
--- a/redwingpost/leases/tests/test_leases.py
+++ b/redwingpost/leases/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Tests of lease arithmetic and the life of a lease."""
+"""Tests of lease arithmetic and of the lease's state machine."""
 
 from unittest import TestCase
 
@@ -8,25 +8,25 @@
 VALID_S = 4.0
 
 
-def keeper(vm="vm-1", incarnation=7):
-    """Return a keeper of the row relays/lima-1."""
+def new_keeper(vm="vm-1", incarnation=7):
+    """Return a keeper for the row relays/lima-1."""
     return LeaseKeeper("relays", "lima-1", vm, incarnation, VALID_S)
 
 
-def row_of(claimer, now, version):
-    """Return the row that a keeper's claim leaves."""
-    _, (write,) = claimer.claim(now)
+def row_of(claimant, now, version):
+    """Return the row that a keeper's claim writes."""
+    _, (write,) = claimant.claim(now)
     return Row(write.table, write.key, version, write.value)
 
 
 class LeaseKeeperTest(TestCase):
     def test_it_lapses_at_the_holder_first(self):
-        # The store takes long to answer: the holder's request was sent
-        # at 0, the other sees the row at 0 at the earliest. If the
-        # holder counted from its answer, both would act for a while.
+        # The store answers slowly: the holder's request was sent at 0,
+        # the other VM sees the row at 0 at the earliest. If the holder
+        # counted from its answer, both could act at the same time.
         for seen_at in (0.0, 0.5, 3.0):
             with self.subTest(seen_at=seen_at):
-                holder, other = keeper("vm-1"), keeper("vm-2")
+                holder, other = new_keeper("vm-1"), new_keeper("vm-2")
                 holder.observe(None, answered_at=0.0)
                 row = row_of(holder, 0.0, 1)
                 holder.committed(1)
@@ -38,9 +38,9 @@
                     self.assertFalse(both)
 
     def test_a_paused_holder_knows_when_it_wakes(self):
-        # The VM's host stops it for a minute. It wakes in the middle of
-        # its work; had it gone on, there would be two relays.
-        holder = keeper()
+        # The hypervisor pauses the VM for a minute in the middle of its
+        # work. If it continued afterwards, there would be two relays.
+        holder = new_keeper()
         holder.observe(None, answered_at=0.0)
         holder.claim(0.0)
         holder.committed(1)
@@ -48,7 +48,7 @@
         self.assertFalse(holder.is_held(61.0))
 
     def test_renewal_keeps_the_term_and_takeover_raises_it(self):
-        holder, other = keeper("vm-1"), keeper("vm-2")
+        holder, other = new_keeper("vm-1"), new_keeper("vm-2")
         holder.observe(None, answered_at=0.0)
         row = row_of(holder, 0.0, 1)
         holder.committed(1)
@@ -64,11 +64,12 @@
 
     def test_a_lost_answer_is_read_back(self):
         # The claim took effect and its answer was lost. Reading the row
-        # back shows it; it counts from the request, not from the read.
-        holder = keeper()
+        # shows this; the validity counts from the request, not from the
+        # read.
+        holder = new_keeper()
         holder.observe(None, answered_at=0.0)
         row = row_of(holder, 0.0, 1)
-        holder.failed()
+        holder.outcome_unknown()
         self.assertFalse(holder.is_held(0.1))
         self.assertEqual(holder.next_step(0.1, True), LeaseStep.READ)
         holder.observe(row, answered_at=2.0)
@@ -76,13 +77,14 @@
         self.assertFalse(holder.is_held(4.0))
 
     def test_a_lost_claim_takes_effect_late(self):
-        # The first claim hangs in the network and takes effect just
-        # before the second, which then meets its own VM's row. Others
-        # may have seen that row long before the second claim was sent.
-        holder = keeper()
+        # The first claim is delayed in the network and takes effect just
+        # before the second, which is refused with a row of its own VM.
+        # Others may have seen that row long before the second claim was
+        # sent.
+        holder = new_keeper()
         holder.observe(None, answered_at=0.0)
         row = row_of(holder, 0.0, 1)
-        holder.failed()
+        holder.outcome_unknown()
         holder.observe(None, answered_at=0.5)
         holder.claim(2.0)
         holder.refused(row, answered_at=2.1)
@@ -90,9 +92,9 @@
         self.assertFalse(holder.is_held(4.0))
 
     def test_a_claim_that_lost(self):
-        first, second = keeper("vm-1"), keeper("vm-2")
-        for claimer in (first, second):
-            claimer.observe(None, answered_at=0.0)
+        first, second = new_keeper("vm-1"), new_keeper("vm-2")
+        for claimant in (first, second):
+            claimant.observe(None, answered_at=0.0)
         row = row_of(first, 0.0, 1)
         second.claim(0.0)
         second.refused(row, answered_at=0.2)
@@ -101,12 +103,12 @@
         self.assertEqual(second.next_step(0.3, True), LeaseStep.READ)
 
     def test_an_earlier_incarnation_is_somebody_else(self):
-        # The VM was replaced under its name; its predecessor may still
-        # be running somewhere, so the lease has to lapse first.
-        fresh = keeper(incarnation=8)
-        fresh.observe(row_of(keeper(), 0.0, 5), answered_at=1.0)
+        # The VM was replaced under the same name; its predecessor may
+        # still be running, so the lease has to expire first.
+        fresh = new_keeper(incarnation=8)
+        fresh.observe(row_of(new_keeper(), 0.0, 5), answered_at=1.0)
         self.assertFalse(fresh.is_held(1.0))
         self.assertEqual(fresh.next_step(2.0, True), LeaseStep.READ)
 
     def test_a_vm_that_should_not_hold_it(self):
-        self.assertEqual(keeper().next_step(0.0, False), LeaseStep.REST)
+        self.assertEqual(new_keeper().next_step(0.0, False), LeaseStep.REST)
