--- a/redwingpost/admission/__init__.py
+++ b/redwingpost/admission/__init__.py
@@ -1,1 +1,1 @@
-"""What a target takes: limits, queues, early refusal, connections."""
+"""Admission control: limits, queues, early refusal, connection budgets."""
--- a/redwingpost/admission/connections.py
+++ b/redwingpost/admission/connections.py
@@ -1,40 +1,45 @@
 """Divide a member's connections between the VMs that serve its group.
 
-Load pattern: a member takes 32 or 50 connections, and a new one costs
-about 12 ms. Six VMs that each open what they need at a peak are refused
-by the member, and a refused control connection can't promote.
-
-Without it the connections go to whoever asks first, and error 1040
-reaches callers whose VM came later.
-
-Grounds: per VM one connection is the agent's probe and
-``CONTROL_LINES`` are the proxy's for status and confirmations. What is
-left is divided equally, less ``RESERVE`` for VMs that are being replaced
-while their connections still linger at the member, and for operators.
+Load pattern: a member accepts 32 or 50 connections, and opening one takes
+about 12 ms. If six VMs each open what they need at a peak, the member
+refuses some of them, and a VM whose control connection was refused can't
+order a promotion.
+
+Without it connections go to the VMs that open theirs first, and callers
+of the other VMs get error 1040.
+
+Each VM needs one connection for the agent's probe and
+``PROXY_CONTROL_CONNECTIONS`` for the proxy's status polls and
+confirmations. The remaining ones are divided equally, less
+``RESERVED_CONNECTIONS`` for operators and for VMs that are being
+replaced, whose connections the member still counts.
 """
 
-#: Control connections of one VM to one member: the agent's probe and the
-#: proxy's two lines, one for polls while a wait is out on the other.
-CONTROL_LINES = 2
-CONTROL_PER_VM = 1 + CONTROL_LINES
+#: Control connections of one VM to one member: one for the agent's probe
+#: and two for the proxy, so that polls continue on one while the other
+#: waits for a confirmation.
+PROXY_CONTROL_CONNECTIONS = 2
+CONTROL_CONNECTIONS_PER_VM = 1 + PROXY_CONTROL_CONNECTIONS
 
-#: Connections that nobody plans on.
-RESERVE = 2
+#: Connections that are assigned to no VM.
+RESERVED_CONNECTIONS = 2
 
 
 def data_connections(
-    limit: int, vms: int, control: int = CONTROL_PER_VM
+    max_connections: int,
+    vms: int,
+    control_per_vm: int = CONTROL_CONNECTIONS_PER_VM,
 ) -> int:
-    """Return the connections for statements that one VM may hold.
+    """Return how many connections for statements one VM may hold.
 
     Parameters
     ----------
-    limit : int
-        Connections that the member takes.
+    max_connections : int
+        Connections that the member accepts.
     vms : int
         VMs that serve the group.
-    control : int, optional
-        Control connections that each VM holds besides.
+    control_per_vm : int, optional
+        Control connections that each VM holds in addition.
 
     Examples
     --------
@@ -43,5 +48,5 @@
     >>> data_connections(10, 6)
     1
     """
-    left = limit - RESERVE - control * vms
-    return max(1, left // max(1, vms))
+    available = max_connections - RESERVED_CONNECTIONS - control_per_vm * vms
+    return max(1, available // max(1, vms))
--- a/redwingpost/admission/desk.py
+++ b/redwingpost/admission/controller.py
@@ -1,12 +1,13 @@
 """Decide for one member which statement starts, waits or is refused.
 
-The desk joins the limit, the fair queues, early refusal and the breaker
-of one member at one VM. It knows tickets, not connections: the proxy
-asks it at each arrival and each end, and starts what it says.
-
-Load pattern: the sum of those of its parts (``limits``, ``queue``,
-``breaker``, ``redwingpost.scheduling``). Long jobs have a queue and slots
-of their own, so that they never stand before short statements.
+The controller combines the concurrency limit, the fair queues, early
+refusal and the circuit breaker for one member at one VM. It handles
+tickets, not connections: the proxy calls it when a statement arrives or
+ends, and starts the statements whose tickets it returns.
+
+Load pattern: those described in ``limits``, ``queue``, ``breaker`` and
+``redwingpost.scheduling``. Long jobs have a queue and slots of their own,
+so that short statements never queue behind them.
 """
 
 from collections.abc import Callable
@@ -19,22 +20,22 @@
     Backlog,
     DrainRate,
     ServiceTimes,
+    check_wait,
     estimate_wait,
-    judge_arrival,
-    refuse_full,
+    queue_full_refusal,
 )
 from redwingpost.core import Refusal
 from redwingpost.scheduling.fair import FairQueue, Flow
 
 #: Long jobs that one VM runs on one member at a time
 #: (``redwingpost.scheduling.long_jobs``).
-LONG_PER_MEMBER = 1
+MAX_LONG_JOBS_PER_MEMBER = 1
 
 
 class Arrival(NamedTuple):
-    """A statement that wants a slot.
+    """A statement that requests a slot.
 
-    ``key`` names statements whose times can be compared; ``cost`` is in
+    Statements with the same ``key`` have comparable times; ``cost`` is in
     cost units; ``deadline_at`` is in seconds.
     """
 
@@ -46,12 +47,12 @@
     deadline_at: float
 
 
-class Verdict(NamedTuple):
-    """What becomes of an arrival.
+class Decision(NamedTuple):
+    """Whether an arriving statement starts, waits or is refused.
 
-    ``refusal`` is set if it is refused; else it starts now or waits.
-    ``evicted`` is a waiting ticket that a full queue gives up, with the
-    refusal for it.
+    ``refusal`` is set if it is refused; otherwise it starts now or waits.
+    ``evicted`` is the ticket that was removed from a full queue to make
+    room, with the refusal for it.
     """
 
     starts: bool
@@ -60,11 +61,11 @@
 
 
 class MemberLoad(NamedTuple):
-    """How busy a member is with this VM's statements.
+    """Load of a member as seen by this VM.
 
     ``share`` is the part of its usual load that the breaker allows,
-    ``ratio`` the smoothed time as a multiple of the group's best,
-    ``service_s`` the seconds in a slot per cost unit.
+    ``latency_ratio`` the smoothed time as a multiple of the best
+    member's, ``service_s`` the time in a slot per cost unit.
     """
 
     in_flight: int
@@ -72,19 +73,19 @@
     limit: int
     service_s: float
     share: float
-    ratio: float
+    latency_ratio: float
 
 
 class _Running(NamedTuple):
-    """A statement in a slot."""
+    """A statement that holds a slot."""
 
     arrival: Arrival
     started_at: float
-    was_full: bool
+    was_at_limit: bool
 
 
-class Desk:
-    """One member's slots and queues at one VM.
+class AdmissionController:
+    """Slots and queues of one VM for one member.
 
     Parameters
     ----------
@@ -100,85 +101,90 @@
         self._running_by_ticket: dict[int, _Running] = {}
         self._waiting_by_ticket: dict[int, Arrival] = {}
         self.limit = ConcurrencyLimit(connections)
-        self.service = ServiceTimes()
+        self.service_times = ServiceTimes()
         self._drain = DrainRate()
         self.breaker = TargetBreaker()
 
     @property
-    def allowed(self) -> int:
-        """Return how many may hold a slot, connections considered."""
+    def max_running(self) -> int:
+        """Statements that may hold a slot at once.
+
+        Bounded by the limit and by the connections that no transaction
+        has pinned.
+        """
         free = self._connections - self._pinned
         return max(0, min(self.limit.value, free))
 
     @property
     def may_pin(self) -> bool:
-        """Say whether one more transaction may keep a connection.
+        """Return whether one more transaction may pin a connection.
 
-        The last connection is never pinned: callers that leave their
-        transactions open would otherwise stop everybody else.
+        The last connection is never pinned: otherwise callers that leave
+        their transactions open would block all others.
         """
         return self._pinned < max(1, self._connections - 1)
 
     def set_connections(self, connections: int) -> None:
-        """Take another number of connections."""
+        """Set the number of connections for statements."""
         if connections != self._connections:
             self._connections = connections
             self.limit.set_maximum(connections)
 
     def load(self, now: float) -> MemberLoad:
-        """Return how busy the member is."""
-        self._watch(now)
+        """Return the load of the member."""
+        self._check_stall(now)
         return MemberLoad(
             in_flight=len(self._running_by_ticket),
             queued_cost=self._short.queued_cost,
-            limit=max(1, self.allowed),
-            service_s=self.service.seconds,
+            limit=max(1, self.max_running),
+            service_s=self.service_times.average_s,
             share=self.breaker.share(now),
-            ratio=self.breaker.ratio,
+            latency_ratio=self.breaker.latency_ratio,
         )
 
-    def arrive(self, now: float, arrival: Arrival) -> Verdict:
-        """Take in a statement."""
+    def arrive(self, now: float, arrival: Arrival) -> Decision:
+        """Start, queue or refuse a statement."""
         queue = self._queue(arrival.is_long)
-        if not len(queue) and self._can_start(arrival.is_long):
+        if not len(queue) and self._has_free_slot(arrival.is_long):
             self._start(now, arrival)
-            return Verdict(starts=True)
-        wait_s = self._estimate(now, queue, arrival)
-        refusal = judge_arrival(
+            return Decision(starts=True)
+        wait_s = self._estimate_wait(now, queue, arrival)
+        refusal = check_wait(
             wait_s,
-            self.service.seconds * arrival.cost,
+            self.service_times.average_s * arrival.cost,
             arrival.deadline_at - now,
         )
         if refusal is not None:
-            return Verdict(starts=False, refusal=refusal)
+            return Decision(starts=False, refusal=refusal)
         queue.push(arrival, arrival.flow, arrival.cost)
         self._waiting_by_ticket[arrival.ticket] = arrival
-        return Verdict(starts=False, evicted=self._evict(queue, wait_s))
+        return Decision(starts=False, evicted=self._evict(queue, wait_s))
 
     def finish(
         self,
         now: float,
         ticket: int,
-        best_of_group: Callable[[str], float | None],
+        best_in_group_s: Callable[[str], float | None],
     ) -> tuple[int, ...]:
-        """Take in an answer; return the tickets that start now.
+        """Record an answer; return the tickets that start now.
 
         Parameters
         ----------
         now : float
             Seconds.
         ticket : int
-            Whose answer it is.
-        best_of_group : callable
-            Smoothed time of a key at the group's best member.
+            The statement that was answered.
+        best_in_group_s : callable
+            Given a key, returns its smoothed time at the group's best
+            member (seconds), or None.
         """
         running = self._running_by_ticket.pop(ticket, None)
         if running is not None and not running.arrival.is_long:
-            self._learn(now, running, best_of_group)
+            self._record_times(now, running, best_in_group_s)
         return self._dispatch(now)
 
     def abandon(self, now: float, ticket: int) -> tuple[int, ...]:
-        """Forget a statement; return the tickets that start now."""
+        """Remove a statement; return the tickets that start now."""
         waiting = self._waiting_by_ticket.pop(ticket, None)
         if waiting is not None:
             self._queue(waiting.is_long).remove(waiting, waiting.flow)
@@ -187,35 +193,40 @@
         return self._dispatch(now)
 
     def fail(self, now: float, ticket: int) -> tuple[int, ...]:
-        """Note that the member was lost; return tickets that start."""
-        self.breaker.fail(now)
+        """Record a failed statement; return the tickets that start now."""
+        self.breaker.record_failure(now)
         return self.abandon(now, ticket)
 
     def pin(self, now: float, ticket: int) -> tuple[int, ...]:
-        """Keep the ticket's connection for a transaction, not its slot.
+        """Pin the ticket's connection to a transaction; free its slot.
 
-        A transaction waits for its caller most of its time; holding a
-        slot meanwhile would idle the target.
+        A transaction waits for its caller most of the time. If it held a
+        slot meanwhile, the target would idle.
+
+        Returns
+        -------
+        tuple of int
+            The tickets that start now.
         """
         self._pinned += 1
         self._running_by_ticket.pop(ticket, None)
         return self._dispatch(now)
 
     def unpin(self, now: float) -> tuple[int, ...]:
-        """Give a transaction's connection back."""
+        """Unpin a connection; return the tickets that start now."""
         self._pinned -= 1
         return self._dispatch(now)
 
     def clear(self) -> tuple[int, ...]:
-        """Give up the queues; return the tickets that waited."""
+        """Empty the queues; return the tickets that waited."""
         tickets = tuple(self._waiting_by_ticket)
         self._waiting_by_ticket.clear()
         self._short = FairQueue()
         self._long = FairQueue()
         return tickets
 
-    def age_of_oldest(self, now: float) -> float:
-        """Return how long the oldest short statement has been out."""
+    def oldest_age_s(self, now: float) -> float:
+        """Return for how long the oldest short statement has run."""
         started = (
             running.started_at
             for running in self._running_by_ticket.values()
@@ -226,10 +237,10 @@
     def _queue(self, is_long: bool) -> FairQueue[Arrival]:
         return self._long if is_long else self._short
 
-    def _can_start(self, is_long: bool) -> bool:
-        if len(self._running_by_ticket) >= self.allowed:
+    def _has_free_slot(self, is_long: bool) -> bool:
+        if len(self._running_by_ticket) >= self.max_running:
             return False
-        return not is_long or self._long_running() < LONG_PER_MEMBER
+        return not is_long or self._long_running() < MAX_LONG_JOBS_PER_MEMBER
 
     def _long_running(self) -> int:
         return sum(
@@ -238,39 +249,39 @@
         )
 
     def _start(self, now: float, arrival: Arrival) -> None:
-        was_full = len(self._running_by_ticket) + 1 >= self.allowed
+        was_at_limit = len(self._running_by_ticket) + 1 >= self.max_running
         self._running_by_ticket[arrival.ticket] = _Running(
-            arrival, now, was_full
+            arrival, now, was_at_limit
         )
 
     def _dispatch(self, now: float) -> tuple[int, ...]:
         started = []
         for is_long in (False, True):
             queue = self._queue(is_long)
-            while len(queue) and self._can_start(is_long):
+            while len(queue) and self._has_free_slot(is_long):
                 arrival = queue.pop()
                 del self._waiting_by_ticket[arrival.ticket]
                 self._start(now, arrival)
                 started.append(arrival.ticket)
         return tuple(started)
 
-    def _estimate(
+    def _estimate_wait(
         self, now: float, queue: FairQueue[Arrival], arrival: Arrival
     ) -> float:
         backlog = Backlog(
-            total=queue.queued_cost,
-            own=queue.backlog(arrival.flow),
+            total_cost=queue.queued_cost,
+            flow_cost=queue.backlog(arrival.flow),
             weight_share=queue.share(arrival.flow),
         )
         return estimate_wait(backlog, arrival.cost, self._drain_rate(now))
 
     def _drain_rate(self, now: float) -> float:
-        measured = self._drain.rate(now)
-        if measured is not None:
-            return measured
+        measured_rate = self._drain.rate(now)
+        if measured_rate is not None:
+            return measured_rate
         free = self._connections - self._pinned
-        at_once = max(1, min(self.limit.promised, free))
-        return at_once / self.service.seconds
+        concurrency = max(1, min(self.limit.expected_limit, free))
+        return concurrency / self.service_times.average_s
 
     def _evict(
         self, queue: FairQueue[Arrival], wait_s: float
@@ -280,22 +291,24 @@
         victim = queue.longest()
         queue.remove(victim, victim.flow)
         del self._waiting_by_ticket[victim.ticket]
-        return victim.ticket, refuse_full(wait_s)
+        return victim.ticket, queue_full_refusal(wait_s)
 
-    def _learn(
+    def _record_times(
         self,
         now: float,
         running: _Running,
-        best_of_group: Callable[[str], float | None],
+        best_in_group_s: Callable[[str], float | None],
     ) -> None:
         arrival = running.arrival
         seconds = now - running.started_at
-        self.limit.observe(now, arrival.key, seconds, running.was_full)
-        self.service.observe(seconds, arrival.cost)
-        self._drain.note(now, arrival.cost, len(self._short) > 0)
-        best = best_of_group(arrival.key)
-        self.breaker.succeed(now, seconds / best if best else 1.0)
-
-    def _watch(self, now: float) -> None:
-        oldest_s = self.age_of_oldest(now)
-        self.breaker.watch(now, oldest_s, self.service.seconds)
+        self.limit.observe(now, arrival.key, seconds, running.was_at_limit)
+        self.service_times.observe(seconds, arrival.cost)
+        self._drain.record(now, arrival.cost, len(self._short) > 0)
+        best_s = best_in_group_s(arrival.key)
+        self.breaker.record_success(now, seconds / best_s if best_s else 1.0)
+
+    def _check_stall(self, now: float) -> None:
+        oldest_age_s = self.oldest_age_s(now)
+        self.breaker.check_stall(
+            now, oldest_age_s, self.service_times.average_s
+        )
--- a/redwingpost/admission/limits.py
+++ b/redwingpost/admission/limits.py
@@ -1,163 +1,168 @@
-"""Find how many statements a target takes at once, and follow it.
+"""Adaptive limit on the concurrent statements that a VM sends to a target.
 
-Load pattern: a target works on five statements at a time and queues the
-rest without saying so; now and then it slows several times. What is sent
-beyond its slots waits where no deadline, fairness or better target can
-reach it any more.
+Load pattern: a target runs five statements at a time and queues the rest
+without reporting it; now and then it becomes several times slower. A
+statement that waits in the target's own queue can no longer be cancelled
+at its deadline, ordered fairly, or sent to a better target.
 
-Without a limit an overload fills the target's own queue: every caller
-waits for all that was sent before, in order of arrival. With a fixed
+Without a limit an overload fills the target's own queue, and every caller
+waits for all statements sent earlier, in order of arrival. With a fixed
 limit five VMs send too much or one VM too little.
 
-The limit follows the queueing that the statements themselves show, as
-TCP Vegas does (Brakmo and Peterson, 1995): time beyond the shortest seen
-lately is time in the target's queue. Below ``GROW_BELOW`` statements in
-that queue the limit grows by one, above ``SHRINK_ABOVE`` it shrinks.
-
-Grounds: each of six VMs aims at half to one and a half statements in the
-target's queue, together three to nine, so that no slot idles while an
-answer is under way, and a statement waits about one service time there.
-The shortest time is forgotten after ``BASE_WINDOW_S``: a target that has
-really become slower is then taken as it is.
+The limit follows the queueing that the statements' times reveal, as in
+TCP Vegas (Brakmo and Peterson, 1995): time beyond the shortest recent one
+is time in the target's queue. While fewer than ``GROW_BELOW`` statements
+are estimated to be in that queue the limit grows by one; above
+``SHRINK_ABOVE`` it shrinks by one.
+
+Each of six VMs aims at half to one and a half statements in the target's
+queue, three to nine together: no slot idles while an answer is in
+transit, and a statement waits there for about one service time. The
+shortest time expires after ``BASELINE_WINDOW_S``, so that a target that
+has become slower for good gets a new baseline.
 """
 
 from typing import NamedTuple
 
-#: Statements at once that a VM starts with: two keep a slot busy while
-#: one answer is under way.
-FIRST_LIMIT = 2
+#: Concurrent statements that a VM starts with: two keep a slot busy while
+#: one answer is in transit.
+INITIAL_LIMIT = 2
 
-#: Statements in the target's queue, by estimate.
+#: Estimated numbers of this VM's statements in the target's queue.
 GROW_BELOW = 0.5
 SHRINK_ABOVE = 1.5
 
-#: Seconds after which a shortest time is forgotten; twice the longest
-#: that a deadline lets a statement wait.
-BASE_WINDOW_S = 10.0
+#: Seconds after which a shortest time expires: twice the longest time that
+#: a deadline lets a statement wait.
+BASELINE_WINDOW_S = 10.0
 
-#: Times shorter than this much above the shortest count as equal: clock
-#: and scheduler noise of a busy VM.
-NOISE = 1.25
+#: Times up to this multiple of the shortest count as equal to it, to
+#: ignore clock and scheduler noise of a busy VM.
+NOISE_FACTOR = 1.25
 
-#: Weight of the newest statement in the smoothed queueing share.
-_NEWEST = 0.2
+#: Weight of the newest sample in the moving averages.
+_EWMA_WEIGHT = 0.2
 
-#: Largest number of kinds of statement with a time of their own.
+#: Kinds of statements for which times are kept.
 MAX_KEYS = 64
 
 
-class _Base(NamedTuple):
-    """Shortest times of this window and of the one before (seconds)."""
+class _Baseline(NamedTuple):
+    """Shortest times of the current and the previous window."""
 
-    since: float
-    current: float
-    previous: float
+    window_started_at: float
+    current_s: float
+    previous_s: float
 
     @property
-    def least(self) -> float:
-        return min(self.current, self.previous)
+    def shortest_s(self) -> float:
+        return min(self.current_s, self.previous_s)
 
 
 class ConcurrencyLimit:
-    """The limit of one VM towards one target.
+    """Concurrency limit of one VM for one target.
 
     Parameters
     ----------
     maximum : int
-        What the VM's connections to the target allow.
+        Connections that the VM may hold to the target.
 
     Examples
     --------
     >>> limit = ConcurrencyLimit(maximum=10)
     >>> for turn in range(20):
-    ...     limit.observe(turn * 0.01, "read", 0.01, was_full=True)
+    ...     limit.observe(turn * 0.01, "read", 0.01, was_at_limit=True)
     >>> limit.value > 2
     True
     """
 
     def __init__(self, maximum: int) -> None:
         self._maximum = max(1, maximum)
-        self._limit = float(min(FIRST_LIMIT, self._maximum))
-        self._queueing = 0.0
+        self._limit = float(min(INITIAL_LIMIT, self._maximum))
+        self._queueing_share = 0.0
         self._changed_at = float("-inf")
-        self._has_met_queueing = False
-        self._bases_by_key: dict[str, _Base] = {}
+        self._has_seen_queueing = False
+        self._baselines_by_key: dict[str, _Baseline] = {}
         self._typical_by_key: dict[str, float] = {}
 
     @property
     def value(self) -> int:
-        """Statements that may be under way at once."""
+        """Statements that may run at once."""
         return int(self._limit)
 
     @property
-    def promised(self) -> int:
-        """Statements at once to count on when a wait is estimated.
+    def expected_limit(self) -> int:
+        """Concurrency to assume when a queue wait is estimated.
 
-        A new limit starts low and grows within a few answers. Taken at
-        its word, it would refuse the first burst that the target could
-        well serve; until the target has shown queueing, what the
-        connections allow is the better guess.
+        A new limit starts low and grows within a few answers. Estimates
+        based on it would refuse a first burst that the target can serve.
+        Until the target has shown queueing, the number of connections is
+        the better estimate.
         """
-        return self.value if self._has_met_queueing else self._maximum
+        return self.value if self._has_seen_queueing else self._maximum
 
     def set_maximum(self, maximum: int) -> None:
-        """Take what the connections now allow."""
+        """Set the number of connections, which bounds the limit."""
         self._maximum = max(1, maximum)
         self._limit = min(self._limit, float(self._maximum))
 
     def typical(self, key: str) -> float | None:
-        """Return the smoothed time of a kind of statement (seconds)."""
+        """Return the average time of a kind of statement (seconds)."""
         return self._typical_by_key.get(key)
 
     def observe(
-        self, now: float, key: str, seconds: float, was_full: bool
+        self, now: float, key: str, seconds: float, was_at_limit: bool
     ) -> None:
-        """Take in how long a statement took.
+        """Update the limit from the time of an answered statement.
 
         Parameters
         ----------
         now : float
             When it was answered (seconds).
         key : str
-            Its kind: statements of one kind take equally long.
+            Its kind; statements of one kind take about equally long.
         seconds : float
-            From sending to answer.
-        was_full : bool
-            Whether as many were under way as the limit allows.
+            Time from sending to answer.
+        was_at_limit : bool
+            Whether the limit was reached when it was sent.
         """
-        least = self._learn(now, key, seconds)
-        known = self._typical_by_key.setdefault(key, seconds)
-        self._typical_by_key[key] = known + _NEWEST * (seconds - known)
+        shortest_s = self._update_baseline(now, key, seconds)
+        smoothed_s = self._typical_by_key.setdefault(key, seconds)
+        self._typical_by_key[key] = smoothed_s + _EWMA_WEIGHT * (
+            seconds - smoothed_s
+        )
         share = 0.0
-        if seconds > least * NOISE:
-            share = 1.0 - least / seconds
-        self._queueing += _NEWEST * (share - self._queueing)
-        if now - self._changed_at < least:
+        if seconds > shortest_s * NOISE_FACTOR:
+            share = 1.0 - shortest_s / seconds
+        self._queueing_share += _EWMA_WEIGHT * (share - self._queueing_share)
+        if now - self._changed_at < shortest_s:
             return
-        self._adjust(now, was_full)
+        self._adjust(now, was_at_limit)
 
-    def _adjust(self, now: float, was_full: bool) -> None:
-        waiting = self._limit * self._queueing
-        if waiting >= GROW_BELOW:
-            self._has_met_queueing = True
-        if waiting > SHRINK_ABOVE:
+    def _adjust(self, now: float, was_at_limit: bool) -> None:
+        queued = self._limit * self._queueing_share
+        if queued >= GROW_BELOW:
+            self._has_seen_queueing = True
+        if queued > SHRINK_ABOVE:
             self._limit = max(1.0, self._limit - 1.0)
             self._changed_at = now
-        elif waiting < GROW_BELOW and was_full:
+        elif queued < GROW_BELOW and was_at_limit:
             self._limit = min(float(self._maximum), self._limit + 1.0)
             self._changed_at = now
 
-    def _learn(self, now: float, key: str, seconds: float) -> float:
-        found = self._bases_by_key.get(key)
-        if found is None:
-            if len(self._bases_by_key) >= MAX_KEYS:
-                oldest = next(iter(self._bases_by_key))
-                del self._bases_by_key[oldest]
+    def _update_baseline(self, now: float, key: str, seconds: float) -> float:
+        baseline = self._baselines_by_key.get(key)
+        if baseline is None:
+            if len(self._baselines_by_key) >= MAX_KEYS:
+                oldest = next(iter(self._baselines_by_key))
+                del self._baselines_by_key[oldest]
                 del self._typical_by_key[oldest]
-            found = _Base(now, seconds, float("inf"))
-        elif now - found.since > BASE_WINDOW_S:
-            found = _Base(now, seconds, found.current)
+            baseline = _Baseline(now, seconds, float("inf"))
+        elif now - baseline.window_started_at > BASELINE_WINDOW_S:
+            baseline = _Baseline(now, seconds, baseline.current_s)
         else:
-            found = found._replace(current=min(found.current, seconds))
-        self._bases_by_key[key] = found
-        return found.least
+            baseline = baseline._replace(
+                current_s=min(baseline.current_s, seconds)
+            )
+        self._baselines_by_key[key] = baseline
+        return baseline.shortest_s
--- a/redwingpost/admission/queue.py
+++ b/redwingpost/admission/queue.py
@@ -1,20 +1,23 @@
-"""Say at once whether a request can be served in its time.
-
-Load pattern: more arrives than a target can do. Whatever is queued
-beyond the deadlines is worked on in vain, or times out after its whole
-wait; its callers come back and the target does no useful work at all.
-
-Without early refusal the goodput falls with the overload, and a caller
-learns after its whole deadline what was known on arrival.
-
-Grounds: the wait is estimated from what the organisation has queued, the
-share that its weight gives it of the target, and the rate at which the
-target was seen to serve a backlog. Fair queueing makes this an upper
-bound as long as the others don't grow.
-``MARGIN`` of the remaining time is kept back for
-errors of the estimate; a request refused with it to spare may come back
-when ``retry_after`` says, which is when the queue will have shrunk to
-its time.
+"""Refuse a request on arrival if its estimated wait is too long.
+
+Load pattern: more requests arrive than a target can serve. Whatever is
+queued beyond the deadlines is either served too late or times out after
+waiting its whole deadline; the callers retry, and the target does no
+useful work at all.
+
+Without early refusal the goodput falls as the overload grows, and a
+caller learns only after its whole deadline what could have been computed
+on arrival.
+
+The wait is estimated from the backlog of the organisation's flow, the
+share of the target that its weight gives it, and the measured rate at
+which the target drains a backlog. With fair queueing this is an upper
+bound as long as no other organisation's queue grows.
+
+The estimated wait may fill ``USABLE_DEADLINE_SHARE`` of the remaining
+time; the rest is a margin for errors of the estimate. A refused request
+may come back after its ``retry_after_ms``, by when the queue will have
+shrunk enough.
 """
 
 from typing import NamedTuple
@@ -22,145 +25,148 @@
 from redwingpost.core import Code, Refusal
 
 #: Part of the remaining time that the estimated wait may fill.
-MARGIN = 0.8
+USABLE_DEADLINE_SHARE = 0.8
 
-#: Longest estimated wait (seconds), whatever the deadline. Without it the
-#: queue grows to the longest deadline, and requests with shorter ones find
-#: no place. A second holds the bursts of all organisations at once, which
-#: are half a second of their rates each.
+#: Longest estimated wait (seconds), whatever the deadline. Without this
+#: bound the queue grows to the longest deadline, and requests with shorter
+#: ones are refused. One second holds the bursts of all
+#: organisations at once, each of half a second at its rate.
 MAX_WAIT_S = 1.0
 
-#: Requests that wait for one target at one VM, all organisations. At 250
-#: statements a second and deadlines of 5 s more than 1,250 can't be
-#: served in time; the double bounds memory, not service.
+#: Requests of all organisations that may wait for one target at one VM.
+#: At 250 statements a second and deadlines of 5 s no more than 1,250 can be
+#: served in time; twice that only bounds memory.
 MAX_QUEUED = 2500
 
-#: Least time to name for coming back (milliseconds).
+#: Shortest retry-after time (milliseconds).
 MIN_RETRY_MS = 10
 
-#: Weight of the newest service time in the average.
-_NEWEST = 0.1
+#: Weight of the newest service time in the moving average.
+_EWMA_WEIGHT = 0.1
 
-#: Seconds over which a drain rate is measured, and for which it is
-#: believed: a quarter second holds some tens of answers, and a rate from
-#: a slow spell long past would refuse what can be served now.
+#: Seconds over which a drain rate is measured, and for which it stays
+#: valid. A quarter of a second covers some tens of answers; an old rate
+#: from a slow period would refuse what can be served now.
 DRAIN_WINDOW_S = 0.25
 DRAIN_VALID_S = 2.0
-_NEWEST_DRAIN = 0.3
+_DRAIN_EWMA_WEIGHT = 0.3
 
-#: Service time assumed before one was measured (seconds per cost unit).
-_FIRST_SERVICE_S = 0.01
+#: Service time assumed until one is measured (seconds per cost unit).
+_INITIAL_SERVICE_S = 0.01
 
 
 class Backlog(NamedTuple):
-    """What waits at a target when a request arrives, in cost units.
+    """Requests that wait for a target when another one arrives.
 
-    ``own`` waits for the same organisation and kind, ``weight_share`` is
-    the part of the target that the two are entitled to, 0 to 1.
+    ``total_cost`` is the cost of all of them and ``flow_cost`` that of the
+    requests of the same organisation and kind, in cost units.
+    ``weight_share`` is the share of the target that this organisation and
+    kind are entitled to, 0 to 1.
     """
 
-    total: float
-    own: float
+    total_cost: float
+    flow_cost: float
     weight_share: float
 
 
 class ServiceTimes:
-    """Average seconds in a slot per cost unit."""
+    """Moving average of the time in a slot, per cost unit."""
 
     def __init__(self) -> None:
-        self._seconds = _FIRST_SERVICE_S
+        self._average_s = _INITIAL_SERVICE_S
 
     @property
-    def seconds(self) -> float:
-        """Return the average."""
-        return self._seconds
+    def average_s(self) -> float:
+        """Return the average (seconds per cost unit)."""
+        return self._average_s
 
     def observe(self, seconds: float, cost: float) -> None:
-        """Take in a statement's time in its slot."""
+        """Record how long a statement held its slot."""
         newest = seconds / max(cost, 1e-6)
-        self._seconds += _NEWEST * (newest - self._seconds)
+        self._average_s += _EWMA_WEIGHT * (newest - self._average_s)
 
 
 class DrainRate:
-    """Cost units a second that a member serves while others wait.
+    """Measured cost units a second that a member serves from a backlog.
 
-    Limit by service time overstates it: the limit moves with every few
-    answers, and the newest one meets times measured under the last.
+    Computed as limit divided by service time the rate would be too high:
+    the limit changes every few answers, while the service times were
+    still measured under the previous limit.
 
     Examples
     --------
-    >>> drain = DrainRate()
+    >>> drain_rate = DrainRate()
     >>> for turn in range(101):
-    ...     drain.note(turn * 0.01, 1.0, is_backlogged=True)
-    >>> round(drain.rate(1.0))
+    ...     drain_rate.record(turn * 0.01, 1.0, is_backlogged=True)
+    >>> round(drain_rate.rate(1.0))
     100
-    >>> drain.rate(9.0) is None
+    >>> drain_rate.rate(9.0) is None
     True
     """
 
     def __init__(self) -> None:
-        self._since: float | None = None
-        self._served = 0.0
+        self._window_started_at: float | None = None
+        self._served_cost = 0.0
         self._rate: float | None = None
         self._measured_at = float("-inf")
 
-    def note(self, now: float, cost: float, is_backlogged: bool) -> None:
-        """Take in an answer; without a backlog it says nothing."""
+    def record(self, now: float, cost: float, is_backlogged: bool) -> None:
+        """Record an answer; without a backlog it is ignored."""
         if not is_backlogged:
-            self._since = None
+            self._window_started_at = None
             return
-        if self._since is None:
-            self._since, self._served = now, 0.0
+        if self._window_started_at is None:
+            self._window_started_at, self._served_cost = now, 0.0
             return
-        self._served += cost
-        span = now - self._since
-        if span >= DRAIN_WINDOW_S:
-            self._take(now, self._served / span)
-            self._since, self._served = now, 0.0
-
-    def _take(self, now: float, newest: float) -> None:
-        fresh = self.rate(now)
-        known = newest if fresh is None else fresh
-        self._rate = known + _NEWEST_DRAIN * (newest - known)
+        self._served_cost += cost
+        span_s = now - self._window_started_at
+        if span_s >= DRAIN_WINDOW_S:
+            self._update(now, self._served_cost / span_s)
+            self._window_started_at, self._served_cost = now, 0.0
+
+    def _update(self, now: float, newest: float) -> None:
+        current = self.rate(now)
+        previous = newest if current is None else current
+        self._rate = previous + _DRAIN_EWMA_WEIGHT * (newest - previous)
         self._measured_at = now
 
     def rate(self, now: float) -> float | None:
-        """Return the rate, None where it isn't known just now."""
+        """Return the rate, or None without a recent measurement."""
         if now - self._measured_at > DRAIN_VALID_S:
             return None
         return self._rate
 
 
-def estimate_wait(backlog: Backlog, cost: float, drain: float) -> float:
-    """Return the seconds until a request's turn, by estimate.
+def estimate_wait(backlog: Backlog, cost: float, drain_rate: float) -> float:
+    """Return the estimated seconds until a request gets a slot.
 
     Parameters
     ----------
     backlog : Backlog
-        What waits already.
+        Requests that wait already.
     cost : float
         The request's cost units.
-    drain : float
-        Cost units a second that the target serves from here.
+    drain_rate : float
+        Cost units a second that the target serves from this VM.
 
     Examples
     --------
-    >>> alone = Backlog(total=10.0, own=10.0, weight_share=1.0)
-    >>> estimate_wait(alone, 1.0, drain=200.0)
+    >>> alone = Backlog(total_cost=10.0, flow_cost=10.0, weight_share=1.0)
+    >>> estimate_wait(alone, 1.0, drain_rate=200.0)
     0.05
-    >>> flooded = Backlog(total=1000.0, own=0.0, weight_share=0.5)
-    >>> estimate_wait(flooded, 1.0, drain=200.0)
+    >>> flooded = Backlog(total_cost=1000.0, flow_cost=0.0, weight_share=0.5)
+    >>> estimate_wait(flooded, 1.0, drain_rate=200.0)
     0.01
     """
-    by_share = (backlog.own + cost) / max(backlog.weight_share, 1e-6)
-    ahead = min(backlog.total, by_share) if backlog.total else 0.0
-    return ahead / max(drain, 1e-6)
+    by_share = (backlog.flow_cost + cost) / max(backlog.weight_share, 1e-6)
+    ahead = min(backlog.total_cost, by_share) if backlog.total_cost else 0.0
+    return ahead / max(drain_rate, 1e-6)
 
 
-def judge_arrival(
+def check_wait(
     wait_s: float, service_s: float, remaining_s: float
 ) -> Refusal | None:
-    """Refuse a request that can't be served before its deadline.
+    """Return a refusal if a request would wait too long, else None.
 
     Parameters
     ----------
@@ -171,26 +177,26 @@
 
     Examples
     --------
-    >>> judge_arrival(0.1, 0.01, 1.0) is None
+    >>> check_wait(0.1, 0.01, 1.0) is None
     True
-    >>> judge_arrival(2.0, 0.01, 1.0).code.name
+    >>> check_wait(2.0, 0.01, 1.0).code.name
     'deadline-too-short'
-    >>> judge_arrival(2.0, 0.01, 9.0).code.name
+    >>> check_wait(2.0, 0.01, 9.0).code.name
     'over-capacity'
     """
     if remaining_s <= 0.0:
         return Refusal(Code.DEADLINE_PASSED)
-    needed = wait_s + service_s
-    allowed = remaining_s * MARGIN
-    if wait_s == 0.0 or (needed <= allowed and wait_s <= MAX_WAIT_S):
+    needed_s = wait_s + service_s
+    allowed_s = remaining_s * USABLE_DEADLINE_SHARE
+    if wait_s == 0.0 or (needed_s <= allowed_s and wait_s <= MAX_WAIT_S):
         return None
-    retry_ms = int((needed - min(allowed, MAX_WAIT_S)) * 1000)
-    is_short = needed > allowed
-    code = Code.DEADLINE_TOO_SHORT if is_short else Code.OVER_CAPACITY
+    retry_ms = int((needed_s - min(allowed_s, MAX_WAIT_S)) * 1000)
+    exceeds_deadline = needed_s > allowed_s
+    code = Code.DEADLINE_TOO_SHORT if exceeds_deadline else Code.OVER_CAPACITY
     return Refusal(code, retry_after_ms=max(MIN_RETRY_MS, retry_ms))
 
 
-def refuse_full(wait_s: float) -> Refusal:
-    """Return the refusal of a request that a full queue gives up."""
+def queue_full_refusal(wait_s: float) -> Refusal:
+    """Return the refusal of a request evicted from a full queue."""
     retry_ms = max(MIN_RETRY_MS, int(wait_s * 1000))
     return Refusal(Code.OVER_CAPACITY, retry_after_ms=retry_ms)
--- a/redwingpost/admission/tests/one_target.py
+++ b/redwingpost/admission/tests/one_target.py
@@ -1,7 +1,8 @@
-"""One target with five slots in virtual time, behind one or more desks.
+"""Simulates one target in virtual time behind admission controllers.
 
-Events are drawn from a heap; nothing here decides anything. The target
-queues what exceeds its slots, first come first served, as a member does.
+The target runs as many statements as it has slots and queues the rest in
+order of arrival, as a member does. Which statements are sent is decided
+by the controllers alone.
 """
 
 from collections import deque
@@ -9,7 +10,7 @@
 from itertools import count
 from typing import NamedTuple
 
-from redwingpost.admission.desk import Arrival, Desk
+from redwingpost.admission.controller import AdmissionController, Arrival
 from redwingpost.scheduling.fair import Flow
 
 
@@ -26,8 +27,8 @@
     weight: float = 1.0
 
 
-class Done(NamedTuple):
-    """What its caller received: ``code`` 0 is an answer."""
+class Response(NamedTuple):
+    """What a caller received: an answer if ``code`` is 0, else a refusal."""
 
     job: Job
     at: float
@@ -35,63 +36,63 @@
 
 
 class PassThrough:
-    """A naive desk: everything goes to the target at once."""
+    """Baseline without admission control: sends every statement at once."""
 
     def arrive(self, now, arrival):
         """Start every statement."""
-        return _STARTS
+        return _START_NOW
 
-    def finish(self, now, ticket, best_of_group):
+    def finish(self, now, ticket, best_in_group_s):
         """Start nothing more."""
         return ()
 
 
-class _Starts(NamedTuple):
+class _StartNow(NamedTuple):
     starts: bool = True
     refusal: object = None
     evicted: object = None
 
 
-_STARTS = _Starts()
+_START_NOW = _StartNow()
 
 
-class OneTarget:
-    """Runs jobs through desks against one target.
+class TargetSimulation:
+    """Runs jobs through controllers against one target.
 
     Parameters
     ----------
-    desks : list
+    controllers : list
         One per VM.
     slots : int
-        Statements the target takes at once.
-    slow : callable
-        Time -> factor on service times.
+        Statements that the target runs at once.
+    slowdown : callable
+        Given the time, returns the factor on service times.
     """
 
-    def __init__(self, desks, slots=5, slow=lambda now: 1.0):
-        self.desks = desks
+    def __init__(self, controllers, slots=5, slowdown=lambda now: 1.0):
+        self.controllers = controllers
         self.slots = slots
-        self.slow = slow
-        self.done = []
-        self.inside = deque()
-        self.busy = 0
-        self.peak = 0
+        self.slowdown = slowdown
+        self.responses = []
+        self.queued = deque()
+        self.running = 0
+        self.peak_concurrency = 0
         self._events = []
         self._order = count()
         self._jobs_by_ticket = {}
 
     def run(self, jobs):
-        """Run the jobs to their ends; return what callers received."""
+        """Run all jobs; return the responses in order of time."""
         for ticket, job in enumerate(jobs, start=1):
             self._jobs_by_ticket[ticket] = job
-            self._at(job.at, self._arrive, ticket)
+            self._schedule(job.at, self._arrive, ticket)
         while self._events:
             now, _, call, ticket = heappop(self._events)
             call(now, ticket)
-        return self.done
+        return self.responses
 
-    def _at(self, when, call, ticket):
-        heappush(self._events, (when, next(self._order), call, ticket))
+    def _schedule(self, at, call, ticket):
+        heappush(self._events, (at, next(self._order), call, ticket))
 
     def _arrive(self, now, ticket):
         job = self._jobs_by_ticket[ticket]
@@ -103,50 +104,58 @@
             is_long=job.is_long,
             deadline_at=now + job.deadline_s,
         )
-        verdict = self.desks[job.vm].arrive(now, arrival)
-        if verdict.evicted is not None:
-            evicted, refusal = verdict.evicted
-            self._end(now, evicted, refusal.code.number)
-        if verdict.refusal is not None:
-            self._end(now, ticket, verdict.refusal.code.number)
-        elif verdict.starts:
+        decision = self.controllers[job.vm].arrive(now, arrival)
+        if decision.evicted is not None:
+            evicted, refusal = decision.evicted
+            self._respond(now, evicted, refusal.code.number)
+        if decision.refusal is not None:
+            self._respond(now, ticket, decision.refusal.code.number)
+        elif decision.starts:
             self._send(now, ticket)
         else:
-            self._at(now + job.deadline_s, self._expire, ticket)
+            self._schedule(now + job.deadline_s, self._expire, ticket)
 
     def _expire(self, now, ticket):
-        desk = self.desks[self._jobs_by_ticket[ticket].vm]
-        if ticket in desk._waiting_by_ticket:
-            desk.abandon(now, ticket)
-            self._end(now, ticket, 20204)
+        controller = self.controllers[self._jobs_by_ticket[ticket].vm]
+        if ticket in controller._waiting_by_ticket:
+            controller.abandon(now, ticket)
+            self._respond(now, ticket, 20204)
 
     def _send(self, now, ticket):
-        self.inside.append(ticket)
-        self.peak = max(self.peak, len(self.inside) + self.busy)
+        self.queued.append(ticket)
+        self.peak_concurrency = max(
+            self.peak_concurrency, len(self.queued) + self.running
+        )
         self._serve(now)
 
     def _serve(self, now):
-        while self.inside and self.busy < self.slots:
-            ticket = self.inside.popleft()
-            self.busy += 1
-            seconds = self._jobs_by_ticket[ticket].service_s * self.slow(now)
-            self._at(now + seconds, self._answer, ticket)
-
-    def _answer(self, now, ticket):
+        while self.queued and self.running < self.slots:
+            ticket = self.queued.popleft()
+            self.running += 1
+            seconds = self._jobs_by_ticket[ticket].service_s * self.slowdown(
+                now
+            )
+            self._schedule(now + seconds, self._complete, ticket)
+
+    def _complete(self, now, ticket):
         job = self._jobs_by_ticket[ticket]
-        self.busy -= 1
-        self._end(now, ticket, 0)
-        started = self.desks[job.vm].finish(now, ticket, lambda key: None)
+        self.running -= 1
+        self._respond(now, ticket, 0)
+        started = self.controllers[job.vm].finish(
+            now, ticket, lambda key: None
+        )
         for other in started:
             self._send(now, other)
         self._serve(now)
 
-    def _end(self, now, ticket, code):
-        self.done.append(Done(self._jobs_by_ticket[ticket], now, code))
+    def _respond(self, now, ticket, code):
+        self.responses.append(
+            Response(self._jobs_by_ticket[ticket], now, code)
+        )
 
 
-def evenly(organisation, rate, seconds, **job):
-    """Return jobs of one organisation at even distances."""
+def evenly_spaced(organisation, rate, seconds, **job):
+    """Return jobs of one organisation at equal intervals."""
     return [
         Job(at=number / rate, organisation=organisation, **job)
         for number in range(int(rate * seconds))
@@ -154,30 +163,34 @@
 
 
 def merge(*streams):
-    """Return streams of jobs in order of arrival."""
+    """Return the jobs of all streams in order of arrival."""
     return sorted(
         (job for stream in streams for job in stream),
         key=lambda job: (job.at, job.organisation),
     )
 
 
-def in_time(done, organisation=None):
-    """Return the answers that came before their callers' deadlines."""
+def in_time(responses, organisation=None):
+    """Return the answers that came before their deadlines."""
     return [
-        one
-        for one in done
-        if one.code == 0
-        and one.at <= one.job.at + one.job.deadline_s
-        and organisation in (None, one.job.organisation)
+        response
+        for response in responses
+        if response.code == 0
+        and response.at <= response.job.at + response.job.deadline_s
+        and organisation in (None, response.job.organisation)
     ]
 
 
-def percentile(done, share):
+def percentile(responses, share):
     """Return a percentile of the answers' times (seconds)."""
-    times = sorted(one.at - one.job.at for one in done if one.code == 0)
+    times = sorted(
+        response.at - response.job.at
+        for response in responses
+        if response.code == 0
+    )
     return times[min(len(times) - 1, int(len(times) * share))]
 
 
-def make_desks(count_of_desks, connections=10):
-    """Return desks that may each open some connections."""
-    return [Desk(connections) for _ in range(count_of_desks)]
+def make_controllers(vms, connections=10):
+    """Return one controller per VM, each with ``connections``."""
+    return [AdmissionController(connections) for _ in range(vms)]
--- a/redwingpost/cli/tests/test_node_imports.py
+++ b/redwingpost/cli/tests/test_node_imports.py
@@ -13,7 +13,7 @@
     "cryptography",
     "matplotlib",
     "mysql_mimic",
-    "redwingpost.admission.desk",
+    "redwingpost.admission.controller",
     "redwingpost.configuration.acceptance",
     "redwingpost.membership.beats",
     "redwingpost.proxy",
--- a/redwingpost/proxy/control_lines.py
+++ b/redwingpost/proxy/control_lines.py
@@ -11,7 +11,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any, TypeVar
 
-from redwingpost.admission.connections import CONTROL_LINES
+from redwingpost.admission.connections import PROXY_CONTROL_CONNECTIONS
 from redwingpost.core import MemberAddress
 from redwingpost.ports import TargetDialler
 
@@ -25,7 +25,7 @@
     """The lines to one member."""
 
     def __init__(self) -> None:
-        self.free = Semaphore(CONTROL_LINES)
+        self.free = Semaphore(PROXY_CONTROL_CONNECTIONS)
         self.idle: deque[Any] = deque()
 
 
--- a/redwingpost/proxy/replica_choice.py
+++ b/redwingpost/proxy/replica_choice.py
@@ -6,7 +6,7 @@
 from asyncio import sleep
 from random import Random
 
-from redwingpost.admission.desk import MemberLoad
+from redwingpost.admission.controller import MemberLoad
 from redwingpost.core import GroupView, MemberAddress, Request
 from redwingpost.ports import Clock
 from redwingpost.proxy.directory import Directory
@@ -149,7 +149,7 @@
             elif self._pool.take_probe(address):
                 return address
         if not candidates:
-            return min(fresh, key=lambda a: self._pool.load(a).ratio)
+            return min(fresh, key=lambda a: self._pool.load(a).latency_ratio)
         chosen = self._policy(candidates, self._random).member
         return next(a for a in fresh if a.member == chosen)
 
--- a/redwingpost/proxy/targets.py
+++ b/redwingpost/proxy/targets.py
@@ -1,8 +1,8 @@
 """Give statements a slot and a connection at a member, fairly.
 
 Which statement starts, waits or is refused is decided by
-``redwingpost.admission.Desk``, one per member; here are the futures of
-those who wait, and the warm connections.
+``redwingpost.admission.controller.AdmissionController``, one per member;
+here are the futures of those who wait, and the warm connections.
 """
 
 from asyncio import Future, get_running_loop, wait_for
@@ -12,7 +12,11 @@
 from typing import Any, NamedTuple
 
 from redwingpost.admission.connections import data_connections
-from redwingpost.admission.desk import Arrival, Desk, MemberLoad
+from redwingpost.admission.controller import (
+    AdmissionController,
+    Arrival,
+    MemberLoad,
+)
 from redwingpost.core import (
     Code,
     MemberAddress,
@@ -53,12 +57,12 @@
 
 
 class _Counter:
-    """One member's desk and connections."""
+    """One member's admission controller and connections."""
 
     def __init__(self, address: MemberAddress, connections: int) -> None:
         self.address = address
         self.connections = connections
-        self.desk = Desk(connections)
+        self.admission = AdmissionController(connections)
         self.idle: deque[TargetConnection] = deque()
         self.used: set[Any] = set()
         self.pin_waiters: deque[Future] = deque()
@@ -108,7 +112,7 @@
 
     def load(self, address: MemberAddress) -> MemberLoad:
         """Return how busy a member is."""
-        return self._counter(address).desk.load(self._clock.now())
+        return self._counter(address).admission.load(self._clock.now())
 
     def warm_connections(self, address: MemberAddress) -> int:
         """Return how many connections to a member are idle."""
@@ -116,7 +120,7 @@
 
     def take_probe(self, address: MemberAddress) -> bool:
         """Say whether a read may try a member that was left."""
-        breaker = self._counter(address).desk.breaker
+        breaker = self._counter(address).admission.breaker
         return breaker.take_probe(self._clock.now())
 
     def is_long(self, request: Request, shape: str) -> bool:
@@ -154,10 +158,10 @@
         try:
             connection = await self._connect(counter)
         except (TargetError, TargetLost):
-            self._wake(counter.desk.fail(self._clock.now(), ticket))
+            self._wake(counter.admission.fail(self._clock.now(), ticket))
             raise
         except BaseException:
-            self._wake(counter.desk.abandon(self._clock.now(), ticket))
+            self._wake(counter.admission.abandon(self._clock.now(), ticket))
             raise
         counter.used.add(connection)
         self._uses_by_connection[connection] = _Use(
@@ -169,7 +173,7 @@
         """Keep a connection for a transaction, without its slot."""
         use = self._uses_by_connection[connection]
         self._uses_by_connection[connection] = use._replace(pinned=True)
-        self._wake(use.counter.desk.pin(self._clock.now(), use.ticket))
+        self._wake(use.counter.admission.pin(self._clock.now(), use.ticket))
 
     async def wait_to_pin(
         self, address: MemberAddress, request: Request
@@ -182,7 +186,7 @@
             If none ended before the request's deadline.
         """
         counter = self._counter(address)
-        while not counter.desk.may_pin:
+        while not counter.admission.may_pin:
             left = request.deadline_at - self._clock.now()
             ended = get_running_loop().create_future()
             counter.pin_waiters.append(ended)
@@ -225,15 +229,17 @@
             self._end(use, ended_at)
 
     def _end(self, use: _Use, ended_at: float) -> None:
-        desk = use.counter.desk
+        admission = use.counter.admission
         if use.pinned:
             self._unpin(use.counter, ended_at)
             return
         if use.shape:
             seconds = ended_at - use.started_at
-            self.lengths.observe(use.shape, seconds, desk.service.seconds)
+            self.lengths.observe(
+                use.shape, seconds, admission.service_times.average_s
+            )
         group = use.counter.address.group
-        started = desk.finish(
+        started = admission.finish(
             ended_at, use.ticket, lambda key: self._best(group, key)
         )
         self._wake(started)
@@ -245,8 +251,8 @@
         if use is None:
             return
         use.counter.used.discard(connection)
-        desk, now = use.counter.desk, self._clock.now()
-        self._wake(desk.fail(now, use.ticket))
+        admission, now = use.counter.admission, self._clock.now()
+        self._wake(admission.fail(now, use.ticket))
         if use.pinned:
             self._unpin(use.counter, now)
 
@@ -256,7 +262,7 @@
         A primary that was replaced answers nobody; its queue would
         otherwise be refused one by one as the deadlines pass.
         """
-        for ticket in self._counter(address).desk.clear():
+        for ticket in self._counter(address).admission.clear():
             lost = TargetLost(sent=False, reason="replaced")
             self._resolve(ticket, lost)
 
@@ -277,14 +283,14 @@
             counter = _Counter(address, wanted)
             self._counters_by_address[address] = counter
         counter.connections = wanted
-        counter.desk.set_connections(wanted)
+        counter.admission.set_connections(wanted)
         return counter
 
     async def _take_turn(
         self, counter: _Counter, ticket: int, request: Request, shape: str
     ) -> None:
         now = self._clock.now()
-        verdict = counter.desk.arrive(
+        decision = counter.admission.arrive(
             now,
             Arrival(
                 ticket=ticket,
@@ -295,12 +301,12 @@
                 deadline_at=request.deadline_at,
             ),
         )
-        if verdict.evicted is not None:
-            evicted, refusal = verdict.evicted
+        if decision.evicted is not None:
+            evicted, refusal = decision.evicted
             self._resolve(evicted, AdmissionRefused(refusal))
-        if verdict.refusal is not None:
-            raise AdmissionRefused(verdict.refusal)
-        if not verdict.starts:
+        if decision.refusal is not None:
+            raise AdmissionRefused(decision.refusal)
+        if not decision.starts:
             await self._wait(counter, ticket, request.deadline_at - now)
 
     async def _wait(
@@ -311,7 +317,7 @@
         try:
             await wait_for(future, seconds)
         except TimeoutError as late:
-            self._wake(counter.desk.abandon(self._clock.now(), ticket))
+            self._wake(counter.admission.abandon(self._clock.now(), ticket))
             refusal = Refusal(
                 Code.DEADLINE_PASSED, retry_after_ms=_EXPIRED_RETRY_MS
             )
@@ -319,9 +325,10 @@
         except (AdmissionRefused, TargetLost):
             raise
         except BaseException:
-            # The turn may have come in the same moment; the desk forgets
-            # the ticket in either state, or a slot would be lost.
-            self._wake(counter.desk.abandon(self._clock.now(), ticket))
+            # The turn may have come in the same moment; the
+            # controller forgets the ticket in either state, or a slot
+            # would be lost.
+            self._wake(counter.admission.abandon(self._clock.now(), ticket))
             raise
         finally:
             self._futures_by_ticket.pop(ticket, None)
@@ -357,13 +364,13 @@
         return await self._dialler.dial(counter.address, DIAL_TIMEOUT_S)
 
     def _unpin(self, counter: _Counter, now: float) -> None:
-        self._wake(counter.desk.unpin(now))
+        self._wake(counter.admission.unpin(now))
         if counter.pin_waiters and not counter.pin_waiters[0].done():
             counter.pin_waiters.popleft().set_result(None)
 
     def _best(self, group: str, key: str) -> float | None:
         times = (
-            counter.desk.limit.typical(key)
+            counter.admission.limit.typical(key)
             for address, counter in self._counters_by_address.items()
             if address.group == group
         )
