--- a/redwingpost/admission/controller.py
+++ b/redwingpost/admission/controller.py
@@ -288,7 +288,7 @@
     ) -> tuple[int, Refusal] | None:
         if len(queue) <= MAX_QUEUED:
             return None
-        victim = queue.longest()
+        victim = queue.eviction_candidate()
         queue.remove(victim, victim.flow)
         del self._waiting_by_ticket[victim.ticket]
         return victim.ticket, queue_full_refusal(wait_s)
--- a/redwingpost/proxy/forwarder.py
+++ b/redwingpost/proxy/forwarder.py
@@ -28,7 +28,7 @@
     choose_forward_targets,
     choose_homes,
 )
-from redwingpost.scheduling.long_jobs import LONG_HOMES
+from redwingpost.scheduling.long_jobs import LONG_JOB_HOMES
 from redwingpost.wire.forwarding import (
     decode_answer,
     decode_positions,
@@ -131,14 +131,14 @@
         five slots of a member (``redwingpost.scheduling.long_jobs``).
         """
         return any(
-            home.vm == self._own.vm for home in self.of(group)[:LONG_HOMES]
+            home.vm == self._own.vm for home in self.of(group)[:LONG_JOB_HOMES]
         )
 
     def targets(
         self, group: str, session: str, is_long: bool
     ) -> tuple[ForwardTarget, ...]:
         """Return the homes in the order in which to try them."""
-        homes = self.of(group)[: LONG_HOMES if is_long else None]
+        homes = self.of(group)[: LONG_JOB_HOMES if is_long else None]
         return choose_forward_targets(homes, self._own.data_centre, session)
 
 
--- a/redwingpost/scheduling/__init__.py
+++ b/redwingpost/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Whom a full target serves next: organisations, kinds, long jobs."""
+"""Scheduling of requests at a saturated target: fair queueing, long jobs."""
--- a/redwingpost/scheduling/fair.py
+++ b/redwingpost/scheduling/fair.py
@@ -1,21 +1,21 @@
-"""Weighted fair queueing among organisations, then among their kinds.
+"""Weighted fair queueing among organisations, then among request kinds.
 
 Load pattern: one organisation sends several times what the others send
-while a target is full. A first-come queue would give it several times
-their service and make everybody wait behind its backlog. Here each
+while a target is saturated. A first-come queue would give it several
+times their service and make everybody wait behind its backlog. Here each
 organisation is served by its weight, whatever it has queued, and inside
 an organisation each request kind by its own weight, so that an order
 overtakes catalogue pages.
 
 Start-time fair queueing (Goyal, Vin and Cheng, "Start-time Fair
 Queuing", SIGCOMM 1996): a flow's next request starts, in virtual time,
-when its last one ended; the least start goes first. It needs no guess of
-the target's speed, which changes when a target slows.
+when its last one ended; the request with the least start tag goes first.
+The algorithm needs no estimate of the target's speed, which varies.
 
 Bound on starvation: while a flow is backlogged, every other flow is
 served at most once more than its weight entitles it to. A request at the
 head of its flow therefore waits for at most one request of each other
-backlogged flow besides what the weights share out (theorem 4 of the
+backlogged flow in addition to their weighted shares (theorem 4 of the
 paper; ``test_starvation_bound``).
 """
 
@@ -26,12 +26,12 @@
 
 T = TypeVar("T")
 
-#: Least weight; a weight of zero would never be served.
+#: Smallest weight; a flow with weight zero would never be served.
 MIN_WEIGHT = 0.01
 
 
 class Flow(NamedTuple):
-    """Whose a request is and what it counts."""
+    """Organisation and kind of a request, with their weights."""
 
     organisation: str
     kind: str
@@ -39,22 +39,25 @@
     kind_weight: float = 1.0
 
 
-class _Kind(Generic[T]):
-    """One kind's requests within an organisation, first come first."""
+class _KindQueue(Generic[T]):
+    """Requests of one kind of an organisation, in order of arrival.
+
+    ``items`` holds the item, its cost and its kind's weight.
+    """
 
     def __init__(self) -> None:
         self.items: deque[tuple[T, float, float]] = deque()
-        self.finish = 0.0
+        self.finish_tag = 0.0
         self.queued_cost = 0.0
 
 
-class _Organisation(Generic[T]):
-    """One organisation's kinds and its place in virtual time."""
+class _OrganisationQueue(Generic[T]):
+    """Queues of one organisation, with its tags in virtual time."""
 
     def __init__(self) -> None:
-        self.kinds_by_name: dict[str, _Kind[T]] = {}
-        self.finish = 0.0
-        self.start = 0.0
+        self.kinds_by_name: dict[str, _KindQueue[T]] = {}
+        self.finish_tag = 0.0
+        self.start_tag = 0.0
         self.weight = 1.0
         self.virtual_time = 0.0
         self.queued = 0
@@ -75,9 +78,9 @@
     """
 
     def __init__(self) -> None:
-        self._organisations_by_name: dict[str, _Organisation[T]] = {}
+        self._organisations_by_name: dict[str, _OrganisationQueue[T]] = {}
         self._active: list[tuple[float, int, str]] = []
-        self._numbers = count()
+        self._tie_breakers = count()
         self._virtual_time = 0.0
         self._queued = 0
         self._queued_cost = 0.0
@@ -87,126 +90,152 @@
 
     @property
     def queued_cost(self) -> float:
-        """Cost of all that waits, in cost units."""
+        """Cost of all queued requests, in cost units."""
         return self._queued_cost
 
     def backlog(self, flow: Flow) -> float:
-        """Return the cost that waits before a new request of a flow."""
-        found = self._organisations_by_name.get(flow.organisation)
-        kind = found.kinds_by_name.get(flow.kind) if found else None
+        """Return the cost queued ahead of a new request of a flow."""
+        organisation = self._organisations_by_name.get(flow.organisation)
+        kind = (
+            organisation.kinds_by_name.get(flow.kind) if organisation else None
+        )
         return kind.queued_cost if kind else 0.0
 
     def share(self, flow: Flow) -> float:
-        """Return the part of the service that a flow is entitled to.
+        """Return the share of the service that a flow is entitled to.
 
-        Its organisation's part among those who wait, times the kind's
-        part among the organisation's kinds that wait.
+        The organisation's weight among the backlogged organisations,
+        times the kind's weight among the organisation's backlogged kinds.
         """
-        own = max(flow.organisation_weight, MIN_WEIGHT)
-        others = sum(
-            found.weight
-            for name, found in self._organisations_by_name.items()
-            if found.queued and name != flow.organisation
+        own_weight = max(flow.organisation_weight, MIN_WEIGHT)
+        other_weights = sum(
+            organisation.weight
+            for name, organisation in self._organisations_by_name.items()
+            if organisation.queued and name != flow.organisation
+        )
+        return (
+            own_weight / (own_weight + other_weights) * self._kind_share(flow)
         )
-        return own / (own + others) * self._kind_share(flow)
 
     def _kind_share(self, flow: Flow) -> float:
-        own = max(flow.kind_weight, MIN_WEIGHT)
-        found = self._organisations_by_name.get(flow.organisation)
-        kinds = found.kinds_by_name if found else {}
-        others = sum(
+        own_weight = max(flow.kind_weight, MIN_WEIGHT)
+        organisation = self._organisations_by_name.get(flow.organisation)
+        kinds = organisation.kinds_by_name if organisation else {}
+        other_weights = sum(
             kind.items[-1][2]
             for name, kind in kinds.items()
             if kind.items and name != flow.kind
         )
-        return own / (own + others)
+        return own_weight / (own_weight + other_weights)
 
     def push(self, item: T, flow: Flow, cost: float) -> None:
-        """Add a request of ``cost`` units."""
-        found = self._organisations_by_name.get(flow.organisation)
-        if found is None:
-            found = _Organisation()
-            self._organisations_by_name[flow.organisation] = found
-        found.weight = max(flow.organisation_weight, MIN_WEIGHT)
-        kind = found.kinds_by_name.setdefault(flow.kind, _Kind())
+        """Add a request of ``cost`` cost units."""
+        organisation = self._organisations_by_name.get(flow.organisation)
+        if organisation is None:
+            organisation = _OrganisationQueue()
+            self._organisations_by_name[flow.organisation] = organisation
+        organisation.weight = max(flow.organisation_weight, MIN_WEIGHT)
+        kind = organisation.kinds_by_name.setdefault(flow.kind, _KindQueue())
         if not kind.items:
-            kind.finish = max(kind.finish, found.virtual_time)
+            kind.finish_tag = max(kind.finish_tag, organisation.virtual_time)
         kind.items.append((item, cost, max(flow.kind_weight, MIN_WEIGHT)))
         kind.queued_cost += cost
-        found.queued += 1
-        found.queued_cost += cost
+        organisation.queued += 1
+        organisation.queued_cost += cost
         self._queued += 1
         self._queued_cost += cost
-        if found.queued == 1:
-            self._activate(flow.organisation, found)
-
-    def _activate(self, name: str, found: _Organisation[T]) -> None:
-        found.start = max(self._virtual_time, found.finish)
-        heappush(self._active, (found.start, next(self._numbers), name))
+        if organisation.queued == 1:
+            self._activate(flow.organisation, organisation)
+
+    def _activate(
+        self, name: str, organisation: _OrganisationQueue[T]
+    ) -> None:
+        organisation.start_tag = max(
+            self._virtual_time, organisation.finish_tag
+        )
+        heappush(
+            self._active,
+            (organisation.start_tag, next(self._tie_breakers), name),
+        )
 
     def pop(self) -> T | None:
-        """Remove and return the request that is due, None if none is."""
+        """Remove and return the next request, or None if none is queued."""
         while self._active:
-            start, _, name = heappop(self._active)
-            found = self._organisations_by_name[name]
-            if not found.queued or start != found.start:
+            start_tag, _, name = heappop(self._active)
+            organisation = self._organisations_by_name[name]
+            if not organisation.queued or start_tag != organisation.start_tag:
                 continue
-            self._virtual_time = start
-            item, cost = _take_from(found)
-            found.finish = start + cost / found.weight
-            self._count_out(found, cost)
-            if found.queued:
-                self._activate(name, found)
+            self._virtual_time = start_tag
+            item, cost = _pop_from(organisation)
+            organisation.finish_tag = start_tag + cost / organisation.weight
+            self._subtract(organisation, cost)
+            if organisation.queued:
+                self._activate(name, organisation)
             return item
         return None
 
     def remove(self, item: T, flow: Flow) -> bool:
-        """Take a request out that is no longer wanted.
+        """Remove a request that is no longer wanted.
+
+        Its flow isn't charged: a request that was never served must not
+        delay the organisation's other requests.
 
-        Its flow isn't charged: what was never served must not delay the
-        organisation's other requests.
+        Returns
+        -------
+        bool
+            False if the request isn't queued.
         """
-        found = self._organisations_by_name.get(flow.organisation)
-        kind = found.kinds_by_name.get(flow.kind) if found else None
-        for entry in kind.items if kind else ():
-            if entry[0] is item:
-                kind.items.remove(entry)
-                kind.queued_cost = max(0.0, kind.queued_cost - entry[1])
-                self._count_out(found, entry[1])
+        organisation = self._organisations_by_name.get(flow.organisation)
+        kind = (
+            organisation.kinds_by_name.get(flow.kind) if organisation else None
+        )
+        for queued_item in kind.items if kind else ():
+            if queued_item[0] is item:
+                kind.items.remove(queued_item)
+                kind.queued_cost = max(0.0, kind.queued_cost - queued_item[1])
+                self._subtract(organisation, queued_item[1])
                 return True
         return False
 
-    def longest(self) -> T | None:
-        """Return the last request of the flow with most cost per weight.
+    def eviction_candidate(self) -> T | None:
+        """Return the request to drop when the queue is full.
 
-        It is the one to give up where the queue is full: dropping the
-        newcomer instead would let a flood push everyone else out.
+        It is the newest one of the organisation with the most queued cost
+        per weight, in its kind with the lowest weight. If the arriving
+        request were dropped instead, a flood from one organisation would
+        shut out all others.
         """
         waiting = [
-            found
-            for found in self._organisations_by_name.values()
-            if found.queued
+            organisation
+            for organisation in self._organisations_by_name.values()
+            if organisation.queued
         ]
         if not waiting:
             return None
-        most = max(waiting, key=lambda one: one.queued_cost / one.weight)
-        kinds = [kind for kind in most.kinds_by_name.values() if kind.items]
+        heaviest = max(waiting, key=lambda one: one.queued_cost / one.weight)
+        kinds = [
+            kind for kind in heaviest.kinds_by_name.values() if kind.items
+        ]
         lightest = min(kinds, key=lambda kind: kind.items[-1][2])
         return lightest.items[-1][0]
 
-    def _count_out(self, found: _Organisation[T], cost: float) -> None:
-        found.queued -= 1
-        found.queued_cost = max(0.0, found.queued_cost - cost)
+    def _subtract(
+        self, organisation: _OrganisationQueue[T], cost: float
+    ) -> None:
+        organisation.queued -= 1
+        organisation.queued_cost = max(0.0, organisation.queued_cost - cost)
         self._queued -= 1
         self._queued_cost = max(0.0, self._queued_cost - cost)
 
 
-def _take_from(found: _Organisation[T]) -> tuple[T, float]:
-    """Take the organisation's next request, kinds by their weights."""
-    waiting = [kind for kind in found.kinds_by_name.values() if kind.items]
-    kind = min(waiting, key=lambda one: one.finish)
+def _pop_from(organisation: _OrganisationQueue[T]) -> tuple[T, float]:
+    """Pop an organisation's next request and return it with its cost."""
+    waiting = [
+        kind for kind in organisation.kinds_by_name.values() if kind.items
+    ]
+    kind = min(waiting, key=lambda one: one.finish_tag)
     item, cost, weight = kind.items.popleft()
-    found.virtual_time = kind.finish
-    kind.finish += cost / weight
+    organisation.virtual_time = kind.finish_tag
+    kind.finish_tag += cost / weight
     kind.queued_cost = max(0.0, kind.queued_cost - cost)
     return item, cost
--- a/redwingpost/scheduling/tests/test_fair.py
+++ b/redwingpost/scheduling/tests/test_fair.py
@@ -1,4 +1,4 @@
-"""Tests of fair queueing."""
+"""Tests of fair queueing and of learning which statements are long."""
 
 from collections import Counter
 from random import Random
@@ -8,7 +8,7 @@
 from redwingpost.scheduling.long_jobs import JobLengths, shape_of
 
 
-def _drain(queue, limit=None):
+def _pop_all(queue, limit=None):
     items = []
     while len(queue) and (limit is None or len(items) < limit):
         items.append(queue.pop())
@@ -21,53 +21,53 @@
         for number in range(100):
             queue.push(("a", number), Flow("a", "", 3.0), 1.0)
             queue.push(("b", number), Flow("b", "", 1.0), 1.0)
-        counts = Counter(name for name, _ in _drain(queue, 80))
+        counts = Counter(name for name, _ in _pop_all(queue, 80))
         self.assertEqual(counts, {"a": 60, "b": 20})
 
     def test_costs(self):
         queue = FairQueue()
         for number in range(100):
-            queue.push(("dear", number), Flow("dear", ""), 4.0)
+            queue.push(("expensive", number), Flow("expensive", ""), 4.0)
             queue.push(("cheap", number), Flow("cheap", ""), 1.0)
-        counts = Counter(name for name, _ in _drain(queue, 50))
-        self.assertEqual(counts, {"dear": 10, "cheap": 40})
+        counts = Counter(name for name, _ in _pop_all(queue, 50))
+        self.assertEqual(counts, {"expensive": 10, "cheap": 40})
 
     def test_kinds_inside_an_organisation(self):
         queue = FairQueue()
         for number in range(40):
             queue.push("page", Flow("a", "page", 1.0, 1.0), 1.0)
             queue.push("order", Flow("a", "order", 1.0, 4.0), 1.0)
-        counts = Counter(_drain(queue, 25))
+        counts = Counter(_pop_all(queue, 25))
         self.assertEqual(counts, {"order": 20, "page": 5})
 
     def test_first_come_first_served_within_a_flow(self):
         queue = FairQueue()
         for number in range(10):
             queue.push(number, Flow("a", ""), 1.0)
-        self.assertEqual(_drain(queue), list(range(10)))
+        self.assertEqual(_pop_all(queue), list(range(10)))
 
     def test_idling_earns_no_credit(self):
         queue = FairQueue()
         for number in range(50):
             queue.push(("busy", number), Flow("busy", ""), 1.0)
-        _drain(queue, 40)
+        _pop_all(queue, 40)
         for number in range(10):
             queue.push(("late", number), Flow("late", ""), 1.0)
-        names = [name for name, _ in _drain(queue, 10)]
+        names = [name for name, _ in _pop_all(queue, 10)]
         self.assertEqual(Counter(names), {"busy": 5, "late": 5})
 
     def test_starvation_bound(self):
-        # An organisation's single request among floods of nine others
-        # must wait for at most one request of each of them.
+        # A single request of one organisation among the backlogs of nine
+        # others must wait for at most one request of each of them.
         random = Random(7)
         for _ in range(50):
             queue = FairQueue()
             for name in "bcdefghij":
                 for number in range(random.randrange(1, 200)):
                     queue.push((name, number), Flow(name, ""), 1.0)
-            _drain(queue, random.randrange(0, 9))
+            _pop_all(queue, random.randrange(0, 9))
             queue.push(("a", 0), Flow("a", ""), 1.0)
-            ahead = _drain(queue).index(("a", 0))
+            ahead = _pop_all(queue).index(("a", 0))
             self.assertLessEqual(ahead, 9)
 
     def test_removed_requests_cost_nothing(self):
@@ -78,7 +78,7 @@
         queue.push(other, Flow("b", ""), 1.0)
         self.assertTrue(queue.remove(gone, Flow("a", "")))
         self.assertFalse(queue.remove(gone, Flow("a", "")))
-        self.assertEqual(_drain(queue), [kept, other])
+        self.assertEqual(_pop_all(queue), [kept, other])
         self.assertEqual(queue.queued_cost, 0.0)
 
     def test_the_longest_flow_gives_way(self):
@@ -86,7 +86,7 @@
         for number in range(9):
             queue.push(("flood", number), Flow("flood", ""), 1.0)
         queue.push(("quiet", 0), Flow("quiet", ""), 1.0)
-        self.assertEqual(queue.longest(), ("flood", 8))
+        self.assertEqual(queue.eviction_candidate(), ("flood", 8))
 
     def test_random_use_keeps_the_counts(self):
         random = Random(3)
@@ -107,7 +107,7 @@
                 item, flow = waiting.pop(key)
                 self.assertTrue(queue.remove(item, flow))
             self.assertEqual(len(queue), len(waiting))
-        self.assertEqual(len(_drain(queue)), len(waiting))
+        self.assertEqual(len(_pop_all(queue)), len(waiting))
 
 
 class JobLengthsTest(TestCase):
@@ -115,19 +115,19 @@
         lengths = JobLengths()
         shape = shape_of("SELECT SUM(x) FROM years WHERE y = 2026")
         self.assertFalse(lengths.is_long(shape))
-        lengths.observe(shape, 3.0, usual_s=0.01)
+        lengths.observe(shape, 3.0, typical_s=0.01)
         other = shape_of("SELECT SUM(x) FROM years WHERE y = 1999")
         self.assertTrue(lengths.is_long(other))
         for _ in range(20):
-            lengths.observe(shape, 0.01, usual_s=0.01)
+            lengths.observe(shape, 0.01, typical_s=0.01)
         self.assertFalse(lengths.is_long(shape))
 
     def test_an_overload_makes_no_long_jobs(self):
-        # Everybody prints at once and every statement takes half a
-        # second inside the member. None of them is a report; sent
-        # through the few slots for reports they would starve.
+        # In an overload every statement takes half a second, because it
+        # queues inside the member. If they counted as long jobs, they
+        # would share the few slots for those and starve.
         lengths = JobLengths()
         shape = shape_of("SELECT page FROM plans WHERE id = 7")
         for _ in range(50):
-            lengths.observe(shape, 0.5, usual_s=0.4)
+            lengths.observe(shape, 0.5, typical_s=0.4)
         self.assertFalse(lengths.is_long(shape))
