--- a/redwingpost/node/group.py
+++ b/redwingpost/node/group.py
@@ -128,7 +128,7 @@
         for member, entry in listed.items():
             self._update(member, entry)
             budget = self.member_by_name[member].budget
-            budget.set_terms(max_connections, vms, idle_s)
+            budget.set_limits(max_connections, vms, idle_s)
         for client in self.member_by_name.values():
             client.close_idle(not self.takes_work(client))
 
--- a/redwingpost/node/member.py
+++ b/redwingpost/node/member.py
@@ -301,8 +301,8 @@
         self, taken: Open, organisation: str, until: float
     ) -> PooledLink | None:
         """Open a connection; None where the member takes no more."""
-        if taken.instead_of is not None:
-            taken.instead_of.link.close()
+        if taken.evicted is not None:
+            taken.evicted.link.close()
         patience = min(CONNECT_S, until - self._clock.now())
         try:
             link = await self._connect(organisation, max(patience, 0.01))
--- a/redwingpost/pools/__init__.py
+++ b/redwingpost/pools/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to members: how many a VM holds, and for whom."""
+"""Pools of connections to members, shared by organisations."""
--- a/redwingpost/pools/pool.py
+++ b/redwingpost/pools/pool.py
@@ -1,12 +1,13 @@
-"""Which connection to one member serves which organisation next.
-
-A connection is opened for one organisation and costs the member a slot
-for about 12 ms; a member takes a few dozen in all. Load pattern: eight
-organisations of very different size at a VM that may hold four
-connections. With a fixed part each, the large ones wait while those of
-the small ones rest. Here any organisation may take any place: an idle
-connection of its own, else a free place, else the place of whoever has
-used theirs least lately.
+"""Pool of a VM's connections to one member, shared by organisations.
+
+A connection is opened for one organisation; opening it occupies one of
+the member's slots for about 12 ms, and a member accepts a few dozen
+connections. Load pattern: eight organisations of very different size at a
+VM that may hold four connections. With a fixed quota for each, statements
+of the large ones would wait while connections of the small ones are idle.
+Here a statement gets an idle connection of its organisation, else a new
+connection while the budget allows one, else a new one in place of the
+least recently used idle connection of any organisation.
 """
 
 from collections import OrderedDict
@@ -18,63 +19,65 @@
 from redwingpost.statements.setup import LinkContents, setup_count
 
 #: Control connections of one VM to one member: status and takeover.
-CONTROL_LINKS = 1
+CONTROL_CONNECTIONS = 1
 
-#: How far a VM may go beyond its equal part while no member refuses:
-#: traffic per VM is uneven, and the equal part of most VMs rests.
-OVERSHOOT = 1.25
+#: Multiple of its equal share that a VM may open while no member refuses
+#: connections: traffic per VM is uneven, and most VMs don't use up their
+#: equal share.
+OVERSHOOT_FACTOR = 1.25
 
-#: Seconds for which a VM keeps to its equal part after a member refused
-#: a connection: long enough for others to give theirs back.
-KEEP_TO_SHARE_S = 2.0
+#: Seconds for which a VM keeps to its equal share after a member refused a
+#: connection: long enough for other VMs to close theirs.
+EQUAL_SHARE_AFTER_REFUSAL_S = 2.0
 
-#: Seconds between tries at a member that has just refused one.
-REFUSED_PAUSE_S = 0.05
+#: Seconds before a connection is tried again at a member that refused one.
+RETRY_AFTER_REFUSAL_S = 0.05
 
-#: Seconds after which an idle connection closes. A VM that loses power
-#: leaves its connections behind, and a member counts them for seconds
-#: more. With full pools, a fleet that starts again after it lost power
-#: finds hardly a place and refuses callers until the rest time out. The
-#: price is more new connections on a calm day.
+#: Seconds after which an idle connection closes. When a VM loses power, the
+#: member counts its connections for some more seconds. If all pools were
+#: full, a fleet that restarts after a power loss could hardly connect and
+#: would refuse callers until the old connections time out. The cost is more
+#: new connections at low load.
 IDLE_S = 1.5
 
-#: The same at a home: few VMs share a member's connections, and an
-#: organisation that comes back finds its own.
+#: The same at a home. Few VMs share the member's connections there, so a
+#: returning organisation can find its own connection still open.
 HOME_IDLE_S = 10.0
 
 
 class PooledLink:
-    """A connection and what it holds.
+    """A connection to a member and its session state.
 
-    ``last_used`` is seconds. ``is_dropped`` is set once its place has
-    been given up, so that nobody gives it up twice. Compared by identity.
+    ``last_used_at`` is in seconds. ``is_dropped`` is set once the pool no
+    longer counts it, so that it isn't subtracted twice. Compared by
+    identity.
     """
 
     def __init__(self, link: DatabaseLink, organisation: str) -> None:
         self.link = link
         self.organisation = organisation
         self.contents = LinkContents()
-        self.last_used = 0.0
+        self.last_used_at = 0.0
         self.is_dropped = False
 
 
 class Open(NamedTuple):
-    """Open a connection, after closing ``instead_of`` if given."""
+    """Open a new connection; close ``evicted`` first if given."""
 
-    instead_of: PooledLink | None
+    evicted: PooledLink | None
 
 
 class Busy(NamedTuple):
-    """All places are in use; wait until one is given back."""
+    """All allowed connections are in use; wait for one."""
 
 
 class ConnectionBudget:
-    """How many connections this VM may hold to one member.
+    """Number of connections that this VM may hold to one member.
 
     Examples
     --------
     >>> budget = ConnectionBudget()
-    >>> budget.set_terms(max_connections=32, vms=6)
+    >>> budget.set_limits(max_connections=32, vms=6)
     >>> budget.allowed(now=1.0)
     5
     >>> budget.note_refused(now=1.0)
@@ -87,33 +90,35 @@
         self.idle_s = IDLE_S
         self._refused_at = float("-inf")
 
-    def set_terms(
+    def set_limits(
         self, max_connections: int, vms: int, idle_s: float = IDLE_S
     ) -> None:
-        """Take the member's limit and how many VMs share it.
+        """Set the member's limit and the number of VMs that share it.
 
-        ``idle_s`` is after how long an idle connection closes (seconds).
+        Idle connections close after ``idle_s`` seconds.
         """
         self.idle_s = idle_s
-        self.share = data_connections(max_connections, vms, CONTROL_LINKS)
+        self.share = data_connections(
+            max_connections, vms, CONTROL_CONNECTIONS
+        )
 
     def note_refused(self, now: float) -> None:
-        """Note that the member took no further connection."""
+        """Record that the member refused a connection."""
         self._refused_at = now
 
     def may_open(self, now: float) -> bool:
-        """Say whether a new connection is worth a try.
+        """Return whether a new connection may be tried.
 
-        Without a pause each of the statements that wait would try for
-        itself: 4,500 refused connections in a day of one minute.
+        Without a pause after a refusal every waiting statement would try
+        to connect: 4,500 refused connections in a run of one minute.
         """
-        return now - self._refused_at >= REFUSED_PAUSE_S
+        return now - self._refused_at >= RETRY_AFTER_REFUSAL_S
 
     def allowed(self, now: float) -> int:
-        """Return how many connections may stand at ``now`` (seconds)."""
-        if now - self._refused_at < KEEP_TO_SHARE_S:
+        """Return how many connections may be open at ``now`` (seconds)."""
+        if now - self._refused_at < EQUAL_SHARE_AFTER_REFUSAL_S:
             return self.share
-        return max(self.share, int(self.share * OVERSHOOT))
+        return max(self.share, int(self.share * OVERSHOOT_FACTOR))
 
 
 class MemberPool:
@@ -126,12 +131,14 @@
 
     @property
     def in_use(self) -> int:
-        """Return the connections that run or await a statement."""
+        """Return how many connections are claimed by statements."""
         return self._in_use
 
     def has_idle(self, organisation: str) -> bool:
-        """Say whether an organisation finds a connection at once."""
-        return any(item.organisation == organisation for item in self._idle)
+        """Return whether an organisation has an idle connection."""
+        return any(
+            pooled.organisation == organisation for pooled in self._idle
+        )
 
     def take(
         self,
@@ -140,27 +147,32 @@
         shape: Shape | None,
         now: float,
     ) -> PooledLink | Open | Busy:
-        """Claim a place for one organisation's statement.
+        """Claim a connection for one organisation's statement.
 
         Parameters
         ----------
         organisation : str
-            Whose statement it is.
+            The statement's organisation.
         values_by_name : dict
-            The session's values: a connection that holds them already
+            The session's values; a connection that has them already
             needs no set-up.
         shape : Shape or None
             The prepared statement that is about to run.
         now : float
             Seconds.
+
+        Returns
+        -------
+        PooledLink, Open or Busy
+            An idle connection, leave to open a new one, or neither.
         """
-        found = self._best_idle(organisation, values_by_name, shape)
-        if found is not None:
-            del self._idle[found]
+        idle = self._best_idle(organisation, values_by_name, shape)
+        if idle is not None:
+            del self._idle[idle]
             self._in_use += 1
-            return found
-        in_all = self._in_use + len(self._idle)
-        if in_all < self._budget.allowed(now) and self._budget.may_open(now):
+            return idle
+        total = self._in_use + len(self._idle)
+        if total < self._budget.allowed(now) and self._budget.may_open(now):
             self._in_use += 1
             return Open(None)
         if self._idle:
@@ -169,32 +181,32 @@
             return Open(oldest)
         return Busy()
 
-    def give_back(self, item: PooledLink, now: float) -> None:
-        """Return a connection that can serve again."""
+    def give_back(self, pooled: PooledLink, now: float) -> None:
+        """Return a claimed connection to the pool."""
         self._in_use -= 1
-        item.last_used = now
-        self._idle[item] = None
+        pooled.last_used_at = now
+        self._idle[pooled] = None
 
     def drop(self) -> None:
-        """Give up a claimed place whose connection is no more."""
+        """Stop counting a claimed connection that is closed."""
         self._in_use -= 1
 
-    def close_idle(self, now: float, all_of_them: bool) -> list[PooledLink]:
+    def close_idle(self, now: float, close_all: bool) -> list[PooledLink]:
         """Remove idle connections that should close; return them.
 
         Parameters
         ----------
         now : float
             Seconds.
-        all_of_them : bool
-            True where the member gets no new work.
+        close_all : bool
+            True if the member gets no new work.
         """
         closing = []
-        for item in tuple(self._idle):
-            is_old = now - item.last_used > self._budget.idle_s
-            if all_of_them or is_old or not item.link.is_open:
-                del self._idle[item]
-                closing.append(item)
+        for pooled in tuple(self._idle):
+            is_expired = now - pooled.last_used_at > self._budget.idle_s
+            if close_all or is_expired or not pooled.link.is_open:
+                del self._idle[pooled]
+                closing.append(pooled)
         return closing
 
     def _best_idle(
@@ -203,17 +215,18 @@
         values_by_name: dict[str, str],
         shape: Shape | None,
     ) -> PooledLink | None:
-        """Return the connection that lacks least, of equals the last used.
+        """Return the idle connection that needs the fewest set-up steps.
 
-        Whatever it lacks costs the member and this VM an exchange.
+        Each step costs the member and this VM an exchange. Among equals
+        the most recently used connection is chosen.
         """
-        own = [
-            item
-            for item in reversed(self._idle)
-            if item.organisation == organisation and item.link.is_open
+        candidates = [
+            pooled
+            for pooled in reversed(self._idle)
+            if pooled.organisation == organisation and pooled.link.is_open
         ]
 
-        def lacks(item: PooledLink) -> int:
-            return setup_count(item.contents, values_by_name, shape)
+        def missing_steps(pooled: PooledLink) -> int:
+            return setup_count(pooled.contents, values_by_name, shape)
 
-        return min(own, key=lacks, default=None)
+        return min(candidates, key=missing_steps, default=None)
--- a/redwingpost/pools/tests/test_pool.py
+++ b/redwingpost/pools/tests/test_pool.py
@@ -1,11 +1,11 @@
-"""Which connection serves whom."""
+"""Tests of claiming, returning and closing pooled connections."""
 
 from unittest import TestCase
 
 from redwingpost.core.statements import Shape
 from redwingpost.pools.pool import (
+    EQUAL_SHARE_AFTER_REFUSAL_S,
     IDLE_S,
-    KEEP_TO_SHARE_S,
     Busy,
     ConnectionBudget,
     MemberPool,
@@ -16,82 +16,86 @@
 
 
 class FakeLink:
-    """A link that is open until told otherwise."""
+    """A connection that is open until ``is_open`` is set to False."""
 
     is_open = True
 
 
 def _pool(max_connections: int = 32, vms: int = 6) -> MemberPool:
     budget = ConnectionBudget()
-    budget.set_terms(max_connections, vms)
+    budget.set_limits(max_connections, vms)
     return MemberPool(budget)
 
 
 def _fill(pool: MemberPool, organisations: list[str], now: float) -> list:
-    items = []
+    connections = []
     for organisation in organisations:
         taken = pool.take(organisation, {}, None, now)
         assert isinstance(taken, Open), taken
-        items.append(PooledLink(FakeLink(), organisation))
-    return items
+        connections.append(PooledLink(FakeLink(), organisation))
+    return connections
 
 
 class PoolTest(TestCase):
     def test_own_idle_connections_come_first(self) -> None:
         pool = _pool()
-        items = _fill(pool, ["a", "b"], 0.0)
-        for item in items:
-            pool.give_back(item, 0.0)
-        self.assertIs(items[0], pool.take("a", {}, None, 1.0))
+        connections = _fill(pool, ["a", "b"], 0.0)
+        for pooled in connections:
+            pool.give_back(pooled, 0.0)
+        self.assertIs(connections[0], pool.take("a", {}, None, 1.0))
 
     def test_a_connection_that_holds_the_values_is_preferred(self) -> None:
         pool = _pool()
-        items = _fill(pool, ["a", "a"], 0.0)
-        items[0].contents.values_by_name["tone"] = "low"
-        for item in items:
-            pool.give_back(item, 0.0)
-        self.assertIs(items[0], pool.take("a", {"tone": "low"}, None, 1.0))
+        connections = _fill(pool, ["a", "a"], 0.0)
+        connections[0].contents.values_by_name["tone"] = "low"
+        for pooled in connections:
+            pool.give_back(pooled, 0.0)
+        self.assertIs(
+            connections[0], pool.take("a", {"tone": "low"}, None, 1.0)
+        )
 
     def test_the_connection_that_lacks_least_is_preferred(self) -> None:
         shape = Shape(False, "q2")
         pool = _pool()
-        items = _fill(pool, ["a", "a", "a"], 0.0)
-        items[0].contents.apply(Prepare(shared_name(shape), shape))
-        items[2].contents.apply(SetValue("tone", "low"))
-        for item in items:
-            pool.give_back(item, 0.0)
-        self.assertIs(items[0], pool.take("a", {}, shape, 1.0))
-        self.assertIs(items[1], pool.take("a", {}, shape, 1.0))
+        connections = _fill(pool, ["a", "a", "a"], 0.0)
+        connections[0].contents.apply(Prepare(shared_name(shape), shape))
+        connections[2].contents.apply(SetValue("tone", "low"))
+        for pooled in connections:
+            pool.give_back(pooled, 0.0)
+        self.assertIs(connections[0], pool.take("a", {}, shape, 1.0))
+        self.assertIs(connections[1], pool.take("a", {}, shape, 1.0))
 
     def test_a_fleet_without_power_leaves_room_at_the_members(self) -> None:
-        """All VMs lose power at once and start again.
+        """All VMs lose power at once and restart.
 
-        A member counts the connections that they left for seconds more.
-        With full pools the new ones would find no place, and callers
-        would be refused although members and VMs are well.
+        A member counts the old connections for some more seconds. If the
+        pools had been full, new connections would be refused, and with
+        them callers, although members and VMs are healthy.
         """
         vms = 6
         left = 0
         for _ in range(vms):
             pool = _pool(max_connections=32, vms=vms)
-            items = _fill(pool, ["a", "b", "c", "d", "e"], 0.0)
-            for now, item in enumerate(items):
-                pool.give_back(item, now * IDLE_S / 2.0)
-            left += len(items) - len(pool.close_idle(2.0 * IDLE_S, False))
+            connections = _fill(pool, ["a", "b", "c", "d", "e"], 0.0)
+            for now, pooled in enumerate(connections):
+                pool.give_back(pooled, now * IDLE_S / 2.0)
+            left += len(connections) - len(
+                pool.close_idle(2.0 * IDLE_S, False)
+            )
         self.assertLessEqual(left, 32 * 2 // 3)
 
     def test_the_longest_idle_makes_room(self) -> None:
-        """Eight organisations share the places of one VM.
+        """More organisations than connections share one VM.
 
-        With a fixed part each, the large ones would wait while the
-        connections of the small ones rest.
+        With a fixed quota for each, the large ones would wait while
+        connections of the small ones are idle.
         """
         pool = _pool()
-        items = _fill(pool, ["a", "b", "c", "d", "e"], 0.0)
-        for now, item in enumerate(items):
-            pool.give_back(item, float(now))
+        connections = _fill(pool, ["a", "b", "c", "d", "e"], 0.0)
+        for now, pooled in enumerate(connections):
+            pool.give_back(pooled, float(now))
         taken = pool.take("f", {}, None, 10.0)
-        self.assertIs(items[0], taken.instead_of)
+        self.assertIs(connections[0], taken.evicted)
 
     def test_all_places_in_use(self) -> None:
         pool = _pool()
@@ -107,23 +111,23 @@
             ("not used lately", late, False, 5),
             ("member takes no work", 0.5, True, 5),
         )
-        for name, now, all_of_them, closed in cases:
+        for name, now, close_all, closed in cases:
             with self.subTest(name):
                 pool = _pool()
-                for item in _fill(pool, ["a"] * 5, 0.0):
-                    pool.give_back(item, 0.0)
-                closing = pool.close_idle(now, all_of_them)
+                for pooled in _fill(pool, ["a"] * 5, 0.0):
+                    pool.give_back(pooled, 0.0)
+                closing = pool.close_idle(now, close_all)
                 self.assertEqual(closed, len(closing))
 
     def test_a_refusal_brings_the_equal_part_back(self) -> None:
-        """Six VMs go beyond their part at once, and the member refuses.
+        """Six VMs exceed their equal share at once; the member refuses.
 
-        Kept up, every second connection would fail.
+        If they continued, every second connection would fail.
         """
         budget = ConnectionBudget()
-        budget.set_terms(32, 6)
+        budget.set_limits(32, 6)
         self.assertGreater(budget.allowed(0.0), budget.share)
         budget.note_refused(1.0)
         self.assertEqual(budget.share, budget.allowed(1.1))
-        later = 1.1 + KEEP_TO_SHARE_S
+        later = 1.1 + EQUAL_SHARE_AFTER_REFUSAL_S
         self.assertGreater(budget.allowed(later), budget.share)
