--- a/redwingpost/node/member.py
+++ b/redwingpost/node/member.py
@@ -33,7 +33,7 @@
     StatusReport,
 )
 from redwingpost.statements.session import SessionState
-from redwingpost.statements.setup import steps_to
+from redwingpost.statements.setup import setup_steps
 
 #: Seconds for a new connection: a handshake waits its turn for a slot.
 CONNECT_S = 0.6
@@ -225,7 +225,7 @@
         trips as statements, 1 to 3 ms each. The statement itself waits
         for their answers, since it must not run with other values.
         """
-        steps = steps_to(item.contents, state.values_by_name)
+        steps = setup_steps(item.contents, state.values_by_name)
         if not steps:
             return
         replies = await item.link.set_up(steps)
--- a/redwingpost/node/request/attempt.py
+++ b/redwingpost/node/request/attempt.py
@@ -16,7 +16,7 @@
     Reply,
 )
 from redwingpost.statements.session import SessionState
-from redwingpost.statements.setup import missing_shape, shared_name
+from redwingpost.statements.setup import prepare_step, prepared_name
 
 
 class Caller(NamedTuple):
@@ -165,8 +165,8 @@
     The connection stays claimed, but for one whose caller gave up: the
     answer to come would be taken for that of the next statement.
     """
-    prepared_as = shared_name(shape) if shape is not None else ""
-    missing = missing_shape(item.contents, shape)
+    prepared_as = prepared_name(shape) if shape is not None else ""
+    missing = prepare_step(item.contents, shape)
     client.note_sent()
     try:
         reply = await item.link.run(statement, after, prepared_as, missing)
--- a/redwingpost/platform/lines.py
+++ b/redwingpost/platform/lines.py
@@ -22,7 +22,7 @@
     StatusReport,
 )
 from redwingpost.statements.session import Phase
-from redwingpost.statements.setup import Discard, SetValue, Step
+from redwingpost.statements.setup import Discard, SetupStep, SetValue
 
 ENCODING = "latin-1"
 
@@ -247,7 +247,7 @@
     return f"QUERY {request} {text}{_END}"
 
 
-def step_text(step: Step) -> str:
+def step_text(step: SetupStep) -> str:
     """Return the text of a set-up step for a member.
 
     Examples
--- a/redwingpost/platform/member_link.py
+++ b/redwingpost/platform/member_link.py
@@ -31,7 +31,7 @@
     Reply,
     StatusReport,
 )
-from redwingpost.statements.setup import Prepare, Step
+from redwingpost.statements.setup import Prepare, SetupStep
 
 
 class LineLink:
@@ -72,7 +72,7 @@
             return reply._replace(failure=prepared.failure)
         return reply
 
-    async def set_up(self, steps: tuple[Step, ...]) -> tuple[Reply, ...]:
+    async def set_up(self, steps: tuple[SetupStep, ...]) -> tuple[Reply, ...]:
         """Take all steps in one round trip; return their answers."""
         lines = (query_line(OWN_ID, step_text(step)) for step in steps)
         return await self._exchange(*lines)
--- a/redwingpost/pools/pool.py
+++ b/redwingpost/pools/pool.py
@@ -16,7 +16,7 @@
 from redwingpost.admission.connections import data_connections
 from redwingpost.core.statements import Shape
 from redwingpost.ports.database import DatabaseLink
-from redwingpost.statements.setup import LinkContents, setup_count
+from redwingpost.statements.setup import LinkContents, count_setup_steps
 
 #: Control connections of one VM to one member: status and takeover.
 CONTROL_CONNECTIONS = 1
@@ -227,6 +227,6 @@
         ]
 
         def missing_steps(pooled: PooledLink) -> int:
-            return setup_count(pooled.contents, values_by_name, shape)
+            return count_setup_steps(pooled.contents, values_by_name, shape)
 
         return min(candidates, key=missing_steps, default=None)
--- a/redwingpost/pools/tests/test_pool.py
+++ b/redwingpost/pools/tests/test_pool.py
@@ -12,7 +12,7 @@
     Open,
     PooledLink,
 )
-from redwingpost.statements.setup import Prepare, SetValue, shared_name
+from redwingpost.statements.setup import Prepare, SetValue, prepared_name
 
 
 class FakeLink:
@@ -58,7 +58,7 @@
         shape = Shape(False, "q2")
         pool = _pool()
         connections = _fill(pool, ["a", "a", "a"], 0.0)
-        connections[0].contents.apply(Prepare(shared_name(shape), shape))
+        connections[0].contents.apply(Prepare(prepared_name(shape), shape))
         connections[2].contents.apply(SetValue("tone", "low"))
         for pooled in connections:
             pool.give_back(pooled, 0.0)
--- a/redwingpost/ports/database.py
+++ b/redwingpost/ports/database.py
@@ -9,7 +9,7 @@
 
 from redwingpost.core.positions import Position
 from redwingpost.core.statements import Statement
-from redwingpost.statements.setup import Prepare, Step
+from redwingpost.statements.setup import Prepare, SetupStep
 
 
 class FailureKind(Enum):
@@ -121,7 +121,7 @@
         the answer: the statement finds no such name and doesn't run.
         """
 
-    async def set_up(self, steps: tuple[Step, ...]) -> tuple[Reply, ...]:
+    async def set_up(self, steps: tuple[SetupStep, ...]) -> tuple[Reply, ...]:
         """Take all steps in one round trip; return their answers."""
 
     async def roll_back(self) -> Reply:
--- a/redwingpost/statements/__init__.py
+++ b/redwingpost/statements/__init__.py
@@ -1,16 +1,16 @@
-"""Sessions of typed statements, apart from any protocol."""
+"""Session state and connection set-up, independent of any protocol."""
 
 from redwingpost.statements.session import Phase, SessionState
 from redwingpost.statements.setup import (
     Discard,
     LinkContents,
     Prepare,
+    SetupStep,
     SetValue,
-    Step,
-    missing_shape,
-    setup_count,
-    shared_name,
-    steps_to,
+    count_setup_steps,
+    prepare_step,
+    prepared_name,
+    setup_steps,
 )
 
 __all__ = [
@@ -20,9 +20,9 @@
     "Prepare",
     "SessionState",
     "SetValue",
-    "Step",
-    "missing_shape",
-    "setup_count",
-    "shared_name",
-    "steps_to",
+    "SetupStep",
+    "count_setup_steps",
+    "prepare_step",
+    "prepared_name",
+    "setup_steps",
 ]
--- a/redwingpost/statements/session.py
+++ b/redwingpost/statements/session.py
@@ -1,8 +1,8 @@
-"""What one caller's session holds: values, names, its transaction.
+"""State of one caller's session: values, prepared statements, transaction.
 
-A session outlives the member connections that serve it, so everything
-that a connection must know is kept here and told to whichever connection
-runs the next statement (``redwingpost.statements.setup``).
+A session outlives the member connections that serve it. Its values and
+prepared statements are therefore kept here and set up on whichever
+connection runs the next statement (``redwingpost.statements.setup``).
 """
 
 from enum import Enum
@@ -11,8 +11,9 @@
 from redwingpost.core.statements import Shape, Statement, StatementKind
 from redwingpost.observability.trace import StatementTrace
 
-#: Session values and prepared names that one session may keep. Drivers
-#: use a few dozen; the bound keeps one caller from filling the memory.
+#: Session values, and prepared statements, that one session may hold.
+#: Drivers use a few dozen; the bound keeps one caller from exhausting the
+#: memory.
 MAX_NAMES = 1000
 
 _PLAIN_READS = frozenset({StatementKind.READ})
@@ -20,7 +21,7 @@
 
 
 class Phase(Enum):
-    """Where a session stands between statements."""
+    """Transaction state of a session between statements."""
 
     IDLE = "idle"
     IN_TRANSACTION = "in-transaction"
@@ -30,7 +31,8 @@
 class SessionState:
     """Values, prepared statements and the phase of one session.
 
-    ``trace`` holds the parts of the current statement's time.
+    ``written`` is the highest position of the session's acknowledged
+    commits. ``trace`` records how the current statement's time is spent.
 
     Examples
     --------
@@ -51,28 +53,28 @@
         self.trace = StatementTrace()
 
     def set_value(self, name: str, value: str) -> bool:
-        """Keep a value; False where the session holds too many."""
-        return _keep(self.values_by_name, name, value)
+        """Set a value; return False if the session has too many."""
+        return _store(self.values_by_name, name, value)
 
     def prepare(self, name: str, shape: Shape) -> bool:
-        """Keep a prepared statement; False where there are too many."""
-        return _keep(self.shapes_by_name, name, shape)
+        """Add a prepared statement; return False if there are too many."""
+        return _store(self.shapes_by_name, name, shape)
 
     def close(self, name: str) -> None:
-        """Forget a prepared statement."""
+        """Remove a prepared statement."""
         self.shapes_by_name.pop(name, None)
 
     def shape_of(self, name: str) -> Shape | None:
-        """Return what a prepared name runs, or None."""
+        """Return the shape of a prepared statement, or None."""
         return self.shapes_by_name.get(name)
 
     def note_commit(self, position: Position | None) -> None:
-        """Remember the position of an acknowledged commit."""
+        """Record the position of an acknowledged commit."""
         if position is not None:
             self.written = max(self.written, position)
 
     def writes(self, statement: Statement) -> bool | None:
-        """Say whether a statement writes; None for an unknown name.
+        """Return whether a statement writes; None for an unknown name.
 
         Examples
         --------
@@ -88,8 +90,8 @@
         return None if shape is None else shape.writes
 
 
-def _keep(by_name: dict, name: str, item: object) -> bool:
+def _store(by_name: dict, name: str, value: object) -> bool:
     if name not in by_name and len(by_name) >= MAX_NAMES:
         return False
-    by_name[name] = item
+    by_name[name] = value
     return True
--- a/redwingpost/statements/setup.py
+++ b/redwingpost/statements/setup.py
@@ -1,11 +1,11 @@
-"""What a pooled connection must be told before a session may use it.
-
-A connection serves many sessions in turn. Without this a statement would
-run with another session's values, or run what another session prepared
-under the same name; the caller would get a row that it never asked for.
-Values must be equal to the letter, so a connection that holds one too
-many is reset first. Prepared statements are kept under a name derived
-from what they run, so that sessions share them and can't collide.
+"""Set-up steps that a pooled connection needs before a session uses it.
+
+A connection serves many sessions in turn. Without set-up a statement
+would run with another session's values, or run what another session
+prepared under the same name, and the caller would get wrong rows. The
+connection's values must be exactly those of the session, so a connection
+that has others in addition is reset first. Prepared statements get a name
+derived from their shape, so that sessions share them without collisions.
 """
 
 from hashlib import blake2b
@@ -13,12 +13,12 @@
 
 from redwingpost.core.statements import Shape
 
-#: Prepared statements kept on one connection before it is reset; bounds
-#: what a member must remember for it.
+#: Prepared statements on one connection before it is reset, to bound the
+#: memory that a member needs for it.
 MAX_PREPARED = 200
 
-#: Bytes of the derived name: a clash of two shapes among a million has a
-#: chance of 3e-8.
+#: Bytes of the derived name: the probability of a collision among a million
+#: shapes is 3e-8.
 _DIGEST_BYTES = 8
 
 
@@ -40,18 +40,18 @@
     shape: Shape
 
 
-Step = Discard | SetValue | Prepare
+SetupStep = Discard | SetValue | Prepare
 
 
 class LinkContents:
-    """What a connection is known to hold."""
+    """Session values and prepared statements on a connection."""
 
     def __init__(self) -> None:
         self.values_by_name: dict[str, str] = {}
         self.prepared: set[str] = set()
 
-    def apply(self, step: Step) -> None:
-        """Note a step that the member has acknowledged."""
+    def apply(self, step: SetupStep) -> None:
+        """Apply a step that the member has acknowledged."""
         if isinstance(step, Discard):
             self.values_by_name.clear()
             self.prepared.clear()
@@ -61,78 +61,79 @@
             self.prepared.add(step.name)
 
 
-def shared_name(shape: Shape) -> str:
-    """Return the name under which connections hold a shape.
+def prepared_name(shape: Shape) -> str:
+    """Return the name under which a shape is prepared on connections.
 
     Examples
     --------
-    >>> shared_name(Shape(False, "q2")) == shared_name(Shape(False, "q2"))
+    >>> prepared_name(Shape(False, "q2")) == prepared_name(Shape(False, "q2"))
     True
-    >>> shared_name(Shape(False, "q2")) == shared_name(Shape(True, "q2"))
+    >>> prepared_name(Shape(False, "q2")) == prepared_name(Shape(True, "q2"))
     False
     """
     text = f"{int(shape.writes)} {shape.text}".encode("latin-1", "replace")
     return "p" + blake2b(text, digest_size=_DIGEST_BYTES).hexdigest()
 
 
-def steps_to(
+def setup_steps(
     contents: LinkContents, values_by_name: dict[str, str]
-) -> tuple[Step, ...]:
-    """Return the steps that make a connection ready for a session.
+) -> tuple[SetupStep, ...]:
+    """Return the steps that set up a connection for a session.
 
     Parameters
     ----------
     contents : LinkContents
-        What the connection holds.
+        Current state of the connection.
     values_by_name : dict
-        The session's values: all of them, and no others, must hold.
+        The session's values; afterwards the connection has exactly
+        these.
 
     Examples
     --------
     >>> link = LinkContents()
-    >>> steps_to(link, {"zone": "a"})
+    >>> setup_steps(link, {"zone": "a"})
     (SetValue(name='zone', value='a'),)
     >>> link.apply(SetValue("tone", "b"))
-    >>> steps_to(link, {})
+    >>> setup_steps(link, {})
     (Discard(),)
     """
-    steps: list[Step] = []
-    held = contents.values_by_name
-    is_full = len(contents.prepared) > MAX_PREPARED
-    if held.keys() - values_by_name.keys() or is_full:
+    steps: list[SetupStep] = []
+    current_values = contents.values_by_name
+    has_too_many_prepared = len(contents.prepared) > MAX_PREPARED
+    if current_values.keys() - values_by_name.keys() or has_too_many_prepared:
         steps.append(Discard())
-        held = {}
+        current_values = {}
     steps.extend(
         SetValue(name, value)
         for name, value in values_by_name.items()
-        if held.get(name) != value
+        if current_values.get(name) != value
     )
     return tuple(steps)
 
 
-def missing_shape(
+def prepare_step(
     contents: LinkContents, shape: Shape | None
 ) -> Prepare | None:
-    """Return how to prepare a shape; None where nothing is missing.
+    """Return the step that prepares a shape, or None if none is needed.
 
     Examples
     --------
     >>> link = LinkContents()
-    >>> missing = missing_shape(link, Shape(False, "q2"))
+    >>> missing = prepare_step(link, Shape(False, "q2"))
     >>> link.apply(missing)
-    >>> missing_shape(link, Shape(False, "q2")) is None
+    >>> prepare_step(link, Shape(False, "q2")) is None
     True
     """
-    if shape is None or shared_name(shape) in contents.prepared:
+    if shape is None or prepared_name(shape) in contents.prepared:
         return None
-    return Prepare(shared_name(shape), shape)
+    return Prepare(prepared_name(shape), shape)
 
 
-def setup_count(
+def count_setup_steps(
     contents: LinkContents,
     values_by_name: dict[str, str],
     shape: Shape | None,
 ) -> int:
-    """Return how many steps a connection lacks for a statement."""
-    missing = missing_shape(contents, shape)
-    return len(steps_to(contents, values_by_name)) + (missing is not None)
+    """Return how many set-up steps a connection needs for a statement."""
+    missing = prepare_step(contents, shape)
+    return len(setup_steps(contents, values_by_name)) + (missing is not None)
--- a/redwingpost/statements/tests/test_session.py
+++ b/redwingpost/statements/tests/test_session.py
@@ -1,4 +1,4 @@
-"""Sessions and what a pooled connection must be told."""
+"""Tests of session state and of connection set-up."""
 
 from unittest import TestCase
 
@@ -10,10 +10,10 @@
     Prepare,
     SessionState,
     SetValue,
-    missing_shape,
-    setup_count,
-    shared_name,
-    steps_to,
+    count_setup_steps,
+    prepare_step,
+    prepared_name,
+    setup_steps,
 )
 from redwingpost.statements.session import MAX_NAMES
 from redwingpost.statements.setup import MAX_PREPARED
@@ -23,11 +23,11 @@
 
 
 class StepsTest(TestCase):
-    def test_a_connection_is_told_just_what_is_missing(self) -> None:
-        """A connection keeps what an earlier session left on it.
+    def test_only_missing_values_are_set(self) -> None:
+        """A connection keeps the values that an earlier session set.
 
-        One value too many, or another value under the same name, and the
-        caller would get rows that it never asked for.
+        With an additional value, or a different one under the same name,
+        the caller would get wrong rows.
         """
         cases = (
             ("nothing needed", {}, {}, ()),
@@ -40,36 +40,36 @@
             with self.subTest(name):
                 contents = LinkContents()
                 contents.values_by_name.update(held)
-                steps = steps_to(contents, wanted)
+                steps = setup_steps(contents, wanted)
                 if expected is not None:
                     self.assertEqual(expected, steps)
                 for step in steps:
                     contents.apply(step)
                 self.assertEqual(wanted, contents.values_by_name)
-                self.assertEqual((), steps_to(contents, wanted))
+                self.assertEqual((), setup_steps(contents, wanted))
 
     def test_a_shape_is_prepared_once(self) -> None:
         contents = LinkContents()
-        prepare = Prepare(shared_name(READS), READS)
-        self.assertEqual(prepare, missing_shape(contents, READS))
+        prepare = Prepare(prepared_name(READS), READS)
+        self.assertEqual(prepare, prepare_step(contents, READS))
         contents.apply(prepare)
-        self.assertIsNone(missing_shape(contents, READS))
-        self.assertIsNone(missing_shape(contents, None))
-        self.assertIsNotNone(missing_shape(contents, WRITES))
+        self.assertIsNone(prepare_step(contents, READS))
+        self.assertIsNone(prepare_step(contents, None))
+        self.assertIsNotNone(prepare_step(contents, WRITES))
 
     def test_a_reset_brings_prepared_statements_back(self) -> None:
         contents = LinkContents()
         contents.apply(SetValue("a", "1"))
-        contents.apply(Prepare(shared_name(READS), READS))
-        steps = steps_to(contents, {})
+        contents.apply(Prepare(prepared_name(READS), READS))
+        steps = setup_steps(contents, {})
         self.assertEqual((Discard(),), steps)
         contents.apply(steps[0])
-        self.assertIsNotNone(missing_shape(contents, READS))
+        self.assertIsNotNone(prepare_step(contents, READS))
 
     def test_what_a_connection_lacks_is_counted(self) -> None:
         held = LinkContents()
         held.apply(SetValue("a", "1"))
-        held.apply(Prepare(shared_name(READS), READS))
+        held.apply(Prepare(prepared_name(READS), READS))
         cases = (
             ("nothing", {"a": "1"}, READS, 0),
             ("a value", {"a": "1", "b": "2"}, READS, 1),
@@ -78,11 +78,14 @@
         )
         for name, wanted, shape, expected in cases:
             with self.subTest(name):
-                self.assertEqual(expected, setup_count(held, wanted, shape))
+                self.assertEqual(
+                    expected, count_setup_steps(held, wanted, shape)
+                )
 
     def test_names_differ_where_what_runs_differs(self) -> None:
         names = {
-            shared_name(shape) for shape in (READS, WRITES, Shape(False, "q2"))
+            prepared_name(shape)
+            for shape in (READS, WRITES, Shape(False, "q2"))
         }
         self.assertEqual(3, len(names))
 
@@ -90,7 +93,7 @@
         contents = LinkContents()
         for number in range(MAX_PREPARED + 1):
             contents.prepared.add(f"p{number}")
-        self.assertIn(Discard(), steps_to(contents, {}))
+        self.assertIn(Discard(), setup_steps(contents, {}))
 
 
 class SessionStateTest(TestCase):
