--- a/redwingpost/node/__init__.py
+++ b/redwingpost/node/__init__.py
@@ -1,1 +1,1 @@
-"""One node: callers' sessions over pooled connections to members."""
+"""The process of one VM: callers' sessions over pooled connections."""
--- a/redwingpost/node/fleet/__init__.py
+++ b/redwingpost/node/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What VMs tell each other, and what they follow in the store."""
+"""Messages between VMs, and tables that VMs follow in the store."""
--- a/redwingpost/node/fleet/copies.py
+++ b/redwingpost/node/fleet/copies.py
@@ -1,8 +1,9 @@
-"""Hand the configuration from VM to VM where the store can't be read.
+"""Copy the configuration from VM to VM while the store can't be read.
 
-A VM that the store turns away still hears the others. Their heartbeats
-name the version that they have in force; a newer one is fetched from
-them, so that a withdrawn key stops working there as well.
+A VM that has no access to the store still receives the other VMs'
+heartbeats. These contain the version in force; a newer version is fetched
+from the VM that has it, so that a withdrawn key stops working on VMs
+without the store too.
 """
 
 from typing import Any
@@ -18,21 +19,21 @@
 from redwingpost.ports.platform import Row
 from redwingpost.wire.pages import PageError, pack_page, unpack_page
 
-#: Where a VM shows its copy, at its metrics port.
+#: Path of the copy, at a VM's metrics port.
 COPY_PATH = "/copy"
 
 #: Seconds for a peer's answer: a large configuration over a slow link that
-#: others use as well.
-_TIMEOUT_S = 2.0
+#: is shared with other traffic.
+_REQUEST_TIMEOUT_S = 2.0
 
 
-class Copies:
-    """The rows that a VM would hand on, as a whole.
+class CopyPage:
+    """The page with this VM's configuration and its list of members.
 
     Parameters
     ----------
     members : TableCopy
-        What this VM knows of the members.
+        This VM's copy of the table of members.
     """
 
     def __init__(self, members: TableCopy) -> None:
@@ -40,7 +41,7 @@
         self._members = members
 
     def page(self) -> Page:
-        """Return the copy for a peer."""
+        """Return the page."""
         members = [list(row) for row in self._members.row_by_key.values()]
         configuration = self.configuration
         body = {
@@ -51,7 +52,7 @@
 
 
 class CopiedRows:
-    """What a peer handed over."""
+    """Rows that were fetched from a peer."""
 
     def __init__(self, configuration: Row | None, members: tuple[Row, ...]):
         self.configuration = configuration
@@ -59,10 +60,10 @@
 
 
 async def fetch_copy(ip: str, port: int) -> Result[CopiedRows, Refusal]:
-    """Return a peer's copy."""
+    """Fetch a peer's configuration and its list of members."""
     client = HttpClient(ip, port)
     try:
-        answer = await client.request("GET", COPY_PATH, _TIMEOUT_S)
+        answer = await client.request("GET", COPY_PATH, _REQUEST_TIMEOUT_S)
         return Ok(_decode(unpack_page(answer.body)))
     except (HttpLost, PageError, KeyError, TypeError) as error:
         return Error(Refusal(Code.PEER_REFUSED, str(error)))
--- a/redwingpost/node/fleet/copy_fetcher.py
+++ b/redwingpost/node/fleet/copy_fetcher.py
@@ -12,36 +12,36 @@
 from redwingpost.ports.clock import Clock
 
 #: Seconds for which another VM must have had a newer configuration before
-#: its copy is fetched, where this VM's own source has failed and where it
-#: has not. A large configuration takes a while to arrive; fetched once more
-#: meanwhile, by all VMs from the one that had it first, it would fill that
-#: VM's link and arrive later at all of them.
-COPY_AFTER_S = 0.5
-COPY_ANYWAY_S = 1.2
+#: its copy is fetched: if this VM's own source has failed, and if it has
+#: not. A large configuration takes a while to arrive. If all VMs meanwhile
+#: fetched it from the VM that had it first, they would saturate that VM's
+#: link, and it would arrive later everywhere.
+FETCH_AFTER_LOSS_S = 0.5
+FETCH_AFTER_S = 1.2
 
-#: Seconds over which the VMs spread their fetches.
-SPREAD_S = 0.5
+#: Maximum random delay (seconds) that spreads the fetches of all VMs.
+FETCH_JITTER_S = 0.5
 
 
 class CopyFetcher:
-    """Takes a peer's rows where the store's don't arrive.
+    """Fetches rows from a peer if the store doesn't deliver them.
 
     Parameters
     ----------
     vms, admission : VmTable, Admission
-        Which versions others have, and which is in force here.
+        The versions at other VMs, and the version in force here.
     rules, members : RulesReader, MemberReader
-        Get the rows.
+        Receive the rows.
     has_members : callable
-        Says whether the store has told the members itself.
+        Returns whether the members have been read from the store.
     is_source_lost : callable
-        Says whether the configuration's own source has failed.
+        Returns whether the configuration's own source has failed.
     port : int
-        Where all VMs show their copies.
+        The metrics port of all VMs, which serves the copies.
     clock : Clock
-        For the wait.
+        Measures the delay.
     random : Random
-        Spreads the fetches of all VMs.
+        Source of the random delay.
     """
 
     def __init__(
@@ -66,13 +66,14 @@
         self._clock = clock
         self._random = random
         self._behind_since: float | None = None
-        self._spread_s = 0.0
+        self._jitter_s = 0.0
         self._fetching: Task | None = None
 
     def fetch_if_behind(self) -> None:
-        """Fetch a peer's copy where it has a newer configuration.
+        """Start fetching a peer's copy if its configuration is newer.
 
-        Whoever calls isn't held up: a peer may take its time limit.
+        The fetch runs in a task of its own, because a peer may take as
+        long as the request timeout.
         """
         now = self._clock.now()
         version, ip = self._vms.newest_configuration(now)
@@ -81,7 +82,7 @@
             return
         if self._behind_since is None:
             self._behind_since = now
-            self._spread_s = self._random.uniform(0.0, SPREAD_S)
+            self._jitter_s = self._random.uniform(0.0, FETCH_JITTER_S)
         if self._fetching is not None and not self._fetching.done():
             return
         if now - self._behind_since >= self._wait_s():
@@ -89,8 +90,10 @@
             self._fetching = create_task(self._fetch(ip))
 
     def _wait_s(self) -> float:
-        after_s = COPY_AFTER_S if self._is_source_lost() else COPY_ANYWAY_S
-        return after_s + self._spread_s
+        after_s = (
+            FETCH_AFTER_LOSS_S if self._is_source_lost() else FETCH_AFTER_S
+        )
+        return after_s + self._jitter_s
 
     async def _fetch(self, ip: str) -> None:
         got = await fetch_copy(ip, self._port)
@@ -99,6 +102,6 @@
             return
         if got.ok.configuration is not None:
             log_event("copy-taken", ip=ip)
-            self._rules.take(got.ok.configuration)
+            self._rules.apply_if_newer(got.ok.configuration)
         if not self._has_members():
             self._members.on_rows(got.ok.members)
--- a/redwingpost/node/fleet/digest_writer.py
+++ b/redwingpost/node/fleet/digest_writer.py
@@ -1,4 +1,4 @@
-"""What this VM tells as a gatherer: of its own cell, and of the fleet."""
+"""Builds a gatherer's digests: of its own cell, and of the whole fleet."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -14,128 +14,134 @@
     vm_number,
 )
 from redwingpost.membership.vm_table import HEARTBEAT_TIMEOUT_S, VmTable
-from redwingpost.node.fleet.readiness_inputs import reached_by
+from redwingpost.node.fleet.readiness_inputs import count_reached
 from redwingpost.rates.counters import NO_USAGES
 
-#: Digests in a row that tell a new set of VMs: one of them will arrive.
-TELL_TIMES = 3
+#: Successive digests that contain a new set of VMs in full, so that at
+#: least one of them arrives.
+SENDS_PER_SET = 3
 
 
-class _TimesTold(NamedTuple):
-    """How often the set of VMs with a number was told."""
+class _SendCount(NamedTuple):
+    """How many times the set of VMs with a number was sent."""
 
     number: int
     times: int
 
 
 class DigestWriter:
-    """Merges what this VM has heard, for others.
+    """Merges the heartbeats and digests that this VM has received.
 
     Parameters
     ----------
     vms : VmTable
-        What was heard.
+        The received heartbeats and digests.
     """
 
     def __init__(self, vms: VmTable) -> None:
         self._vms = vms
-        self._told_by_key: dict[tuple[bool, str], _TimesTold] = {}
+        self._send_count_by_key: dict[tuple[bool, str], _SendCount] = {}
 
-    def of_cell(
+    def build_cell_digest(
         self,
         own: Heartbeat,
         cell: str,
         may_be_brief: bool,
         now: float,
     ) -> Digest:
-        """Return what the VMs that report here say, for other gatherers.
+        """Return a digest of this cell's VMs, for other cells' gatherers.
 
         Parameters
         ----------
         own : Heartbeat
-            This VM's own, with the health of primaries.
+            This VM's own heartbeat, with the health of primaries.
         cell : str
             This VM's cell.
         may_be_brief : bool
-            Leave the health of primaries out if nothing is wrong.
+            Leave out the health of primaries if none of them fails.
         """
-        report = self._report(own, cell, now)
+        report = self._build_cell_report(own, cell, now)
         merged = _merge(self._heartbeats(own, now), ())
-        return self._digest(own, (report,), merged, may_be_brief)
+        return self._build_digest(own, (report,), merged, may_be_brief)
 
-    def of_fleet(
+    def build_fleet_digest(
         self,
         own: Heartbeat,
         cell: str,
         may_be_brief: bool,
         now: float,
     ) -> Digest:
-        """Return what all VMs say, for those that report here."""
-        far = tuple(
+        """Return a digest of the fleet, for the VMs that report here."""
+        other_cells = tuple(
             report
             for report in self._vms.cells(now, HEARTBEAT_TIMEOUT_S)
             if report.cell != cell
         )
-        told = [
+        other_reports = [
             health
             for _, health in self._vms.health_of_other_cells(
                 now, HEARTBEAT_TIMEOUT_S
             )
         ]
-        merged = _merge(self._heartbeats(own, now), told)
-        cells = _newest_only((self._report(own, cell, now), *far))
-        digest = self._digest(own, cells, merged, may_be_brief)
+        merged = _merge(self._heartbeats(own, now), other_reports)
+        cells = _omit_older_versions(
+            (self._build_cell_report(own, cell, now), *other_cells)
+        )
+        digest = self._build_digest(own, cells, merged, may_be_brief)
         return digest._replace(is_fleet=True)
 
-    def of_counters(self, own: Heartbeat) -> Digest:
-        """Return a digest for counters alone, which others need soon."""
-        digest = self._digest(own, (), {}, True)
+    def build_counters_digest(self, own: Heartbeat) -> Digest:
+        """Return an urgent digest for counters alone."""
+        digest = self._build_digest(own, (), {}, True)
         return digest._replace(is_urgent=True)
 
-    def for_readers(
+    def add_echoes(
         self,
         digest: Digest,
         readers: tuple[VmAddress, ...],
         now: float,
     ) -> Digest:
-        """Return a digest with the echoes of its readers."""
+        """Return a digest with the echoes of its readers' clocks."""
         echoes = self._echoes(readers, now) if digest.samples else {}
         return digest._replace(echo_by_number=echoes)
 
-    def leave_out_known(self, digest: Digest, everything: bool) -> Digest:
-        """Return a digest without the sets of VMs that were told before.
+    def omit_sent_sets(self, digest: Digest, include_all: bool) -> Digest:
+        """Return a digest without the sets of VMs that were sent before.
 
         Parameters
         ----------
-        everything : bool
-            Tell all of them: there is a new reader, or some datagrams may
+        include_all : bool
+            Leave no set out: there is a new reader, or some datagrams may
             have been lost.
         """
         cells = tuple(
             (
                 report
-                if everything or self._is_news(digest.is_fleet, report)
+                if include_all or self._is_set_due(digest.is_fleet, report)
                 else report._replace(vms=None)
             )
             for report in digest.cells
         )
         return digest._replace(cells=cells)
 
-    def _is_news(self, is_fleet: bool, report: CellReport) -> bool:
+    def _is_set_due(self, is_fleet: bool, report: CellReport) -> bool:
+        """Return whether to send a set of VMs in full, and count it."""
         key = (is_fleet, report.cell)
-        told = self._told_by_key.get(key)
-        if told is None or told.number != report.vms_number:
-            told = _TimesTold(report.vms_number, 0)
-        self._told_by_key[key] = told._replace(times=told.times + 1)
-        return told.times < TELL_TIMES
+        count = self._send_count_by_key.get(key)
+        if count is None or count.number != report.vms_number:
+            count = _SendCount(report.vms_number, 0)
+        self._send_count_by_key[key] = count._replace(times=count.times + 1)
+        return count.times < SENDS_PER_SET
 
     def _heartbeats(self, own: Heartbeat, now: float) -> list[Heartbeat]:
         return [own, *self._vms.fresh_heartbeats(now)]
 
-    def _report(self, own: Heartbeat, cell: str, now: float) -> CellReport:
-        heard = self._heartbeats(own, now)
-        newest = max(heard, key=lambda item: item.config_version)
-        vms = frozenset(vm_number(item.vm) for item in heard)
+    def _build_cell_report(
+        self, own: Heartbeat, cell: str, now: float
+    ) -> CellReport:
+        heartbeats = self._heartbeats(own, now)
+        newest = max(heartbeats, key=lambda item: item.config_version)
+        vms = frozenset(vm_number(item.vm) for item in heartbeats)
         return CellReport(
             cell,
             0,
@@ -143,17 +149,17 @@
             vm_set_number(vms),
             newest.config_version,
             newest.ip,
-            max(reached_by(item) for item in heard),
+            max(count_reached(item) for item in heartbeats),
         )
 
-    def _digest(
+    def _build_digest(
         self,
         own: Heartbeat,
         cells: tuple[CellReport, ...],
         merged: dict[str, MergedHealth],
         may_be_brief: bool,
     ) -> Digest:
-        is_brief = may_be_brief and _is_calm(merged)
+        is_brief = may_be_brief and _are_all_well(merged)
         return Digest(
             own.vm,
             own.boot,
@@ -177,21 +183,23 @@
         return {number: echo for number, echo in echoes.items() if echo}
 
 
-def _newest_only(cells: tuple[CellReport, ...]) -> tuple[CellReport, ...]:
-    """Leave out where older configurations than the newest are."""
+def _omit_older_versions(
+    cells: tuple[CellReport, ...],
+) -> tuple[CellReport, ...]:
+    """Clear the versions of all reports but those from the newest's VM."""
     newest = max(report.config_version for report in cells)
-    place = next(r.config_ip for r in cells if r.config_version == newest)
+    newest_ip = next(r.config_ip for r in cells if r.config_version == newest)
     return tuple(
         (
             report
-            if report.config_ip == place
+            if report.config_ip == newest_ip
             else report._replace(config_version=0, config_ip="")
         )
         for report in cells
     )
 
 
-def _is_calm(merged: dict[str, MergedHealth]) -> bool:
+def _are_all_well(merged: dict[str, MergedHealth]) -> bool:
     return all(
         not health.failing_ms and not health.stuck_ms
         for health in merged.values()
@@ -200,16 +208,16 @@
 
 def _merge(
     heartbeats: Iterable[Heartbeat],
-    told: Iterable[dict[str, MergedHealth]],
+    other_reports: Iterable[dict[str, MergedHealth]],
 ) -> dict[str, MergedHealth]:
-    """Return the health of primaries by all reports; their VMs differ."""
+    """Merge reports on primaries; no VM may be in two of them."""
     merged: dict[str, MergedHealth] = {}
     one_by_one = (
         (primary, MergedHealth.of_one(health))
         for heartbeat in heartbeats
         for primary, health in heartbeat.health_by_primary.items()
     )
-    by_cell = (item for healths in told for item in healths.items())
+    by_cell = (item for healths in other_reports for item in healths.items())
     for primary, health in (*one_by_one, *by_cell):
         known = merged.get(primary)
         merged[primary] = health if known is None else known.merge(health)
--- a/redwingpost/node/fleet/heartbeat_writer.py
+++ b/redwingpost/node/fleet/heartbeat_writer.py
@@ -1,4 +1,4 @@
-"""What this VM's heartbeats say, and what it takes from others'."""
+"""Builds this VM's heartbeats and applies samples of other VMs."""
 
 from redwingpost.groups.directory import Directory
 from redwingpost.membership.heartbeat import (
@@ -11,12 +11,12 @@
 from redwingpost.node.request.admission import Admission
 from redwingpost.ports.clock import Clock
 
-#: Seconds for which a sample is worth sending to others.
-_SHARE_S = 2.0
+#: Age (seconds) up to which a sample is worth sending to other VMs.
+_MAX_SAMPLE_AGE_S = 2.0
 
 
 class HeartbeatWriter:
-    """Describes this VM, and spreads samples among its groups."""
+    """Builds heartbeats, and passes received samples to their groups."""
 
     def __init__(
         self,
@@ -41,10 +41,10 @@
         Parameters
         ----------
         may_be_brief : bool
-            Leave the health of primaries out if nothing is wrong.
+            Leave out the health of primaries if none of them fails.
         """
         now = self._clock.now()
-        is_brief = may_be_brief and not self._is_anything_wrong()
+        is_brief = may_be_brief and not self._is_any_group_alert()
         return Heartbeat(
             self._vm,
             self.boot,
@@ -57,12 +57,12 @@
             is_brief,
         )
 
-    def _is_anything_wrong(self) -> bool:
+    def _is_any_group_alert(self) -> bool:
         now = self._clock.now()
         return any(group.is_alert() for group in self._active_groups(now))
 
     def _active_groups(self, now: float) -> list[GroupClient]:
-        """Return the groups of whose members this VM knows anything."""
+        """Return the groups whose members this VM contacts itself."""
         return [
             group
             for group in self._group_by_name.values()
@@ -83,18 +83,19 @@
         return health_by_primary
 
     def take_samples(
-        self, samples: tuple[SharedSample, ...], left_at: float | None
+        self, samples: tuple[SharedSample, ...], earliest_sent_at: float | None
     ) -> None:
-        """Give another VM's samples to the groups they belong to.
+        """Pass another VM's samples to the groups they belong to.
 
         Parameters
         ----------
         samples : tuple of SharedSample
-            What it told.
-        left_at : float or None
-            A moment of this VM's clock that they left after (seconds).
+            The other VM's samples.
+        earliest_sent_at : float or None
+            The earliest time they may have been sent, on this VM's clock
+            (seconds). Without it the samples are ignored.
         """
-        if left_at is None:
+        if earliest_sent_at is None:
             return
         for sample in samples:
             listed = self._directory.get(sample.member)
@@ -102,26 +103,26 @@
                 continue
             group = self._group_by_name.get(listed.entry.group)
             if group is not None:
-                taken_at = left_at - sample.age_ms / 1000.0
+                taken_at = earliest_sent_at - sample.age_ms / 1000.0
                 group.note_shared(sample.member, sample.position, taken_at)
 
     def _shared_samples(self, now: float) -> tuple[SharedSample, ...]:
-        """Return the newest sample of each group, for the other VMs."""
+        """Return the newest sample of each group, for other VMs."""
         shared = []
         for group in self._group_by_name.values():
             sample = group.evidence.newest_sample()
             leader = group.evidence.leader
-            # Between two primaries a sample belongs to neither.
+            # During a takeover a sample belongs to no primary.
             if sample is None or leader is None:
                 continue
-            if now - sample.taken_at > _SHARE_S:
+            if now - sample.taken_at > _MAX_SAMPLE_AGE_S:
                 continue
-            # Rounded up: a sample must not look younger than it is.
+            # Rounded up: a sample must not count as younger than it is.
             age_ms = int((now - sample.taken_at) * 1000) + 1
             shared.append(SharedSample(leader, sample.position, age_ms))
         return tuple(shared)
 
 
 def _to_ms(seconds: float) -> int:
-    """Return an age for a heartbeat; whatever is long ago is a day."""
+    """Return an age in milliseconds, at most a day."""
     return int(min(seconds, 86400.0) * 1000)
--- a/redwingpost/node/fleet/heartbeats.py
+++ b/redwingpost/node/fleet/heartbeats.py
@@ -1,7 +1,8 @@
-"""Heartbeats between VMs: who is there, what was used, what is reached.
+"""Heartbeats between VMs: liveness, usage counters, health of primaries.
 
-Small fleets tell each to each; in larger ones VMs report to gatherers
-(``redwingpost.membership.gathering``), which tell each other and them.
+In a small fleet each VM sends heartbeats to each other. In a larger one
+VMs report to gatherers (``redwingpost.membership.gathering``), which send
+digests to each other and to these VMs.
 """
 
 from asyncio import (
@@ -39,42 +40,43 @@
     unpack,
 )
 
-#: Heartbeats after which all counters are sent rather than those that
-#: changed: a VM that came late, or lost datagrams, is complete again
-#: within this many.
-FULL_EVERY = 10
+#: Number of heartbeats after which all counters are sent rather than those
+#: that changed: within it, a VM that started late or lost datagrams has all
+#: counters again.
+FULL_REPORT_EVERY = 10
 
-#: Heartbeats after which the health of primaries is sent although nothing
-#: is wrong with any: it is three quarters of a heartbeat, and samples,
-#: which travel with it, serve for a second and more.
+#: Number of heartbeats after which the health of primaries is sent even if
+#: none of them fails: it is three quarters of a heartbeat's size, and the
+#: samples, which are sent with it, remain useful for over a second.
 HEALTH_EVERY = 2
 
-#: Names of missing VMs in one line of the log.
-_NAMES_LOGGED = 4
+#: Names of missing VMs in one log line, at most.
+_MAX_NAMES_LOGGED = 4
 
-#: Seconds for which a gatherer lets urgent counters gather before it
-#: passes them on. Over two gatherers they are at every VM after twice
-#: this and the way; each admission by itself would be a datagram to every
-#: VM of a cell.
-PASS_ON_S = 0.03
+#: Seconds for which a gatherer batches urgent counters before it forwards
+#: them. Over two gatherers they reach every VM after twice this delay and
+#: the latency of the network. Without batching, each admission would cost a
+#: datagram to every VM of a cell.
+FORWARD_DELAY_S = 0.03
 
 
-class Writer(Protocol):
-    """Says what this VM's heartbeats hold."""
+class HeartbeatSource(Protocol):
+    """Builds this VM's heartbeats and receives other VMs' samples."""
 
     def describe(self, may_be_brief: bool) -> Heartbeat:
         """Return this VM's heartbeat."""
 
     def take_samples(
-        self, samples: tuple[SharedSample, ...], left_at: float | None
+        self, samples: tuple[SharedSample, ...], earliest_sent_at: float | None
     ) -> None:
-        """Take in another VM's samples."""
+        """Apply another VM's samples."""
 
 
-class Here(NamedTuple):
-    """This VM, and where its heartbeats arrive: one port at all VMs.
+class LocalVm(NamedTuple):
+    """This VM and the address that receives its heartbeats.
 
-    ``seeds`` are addresses to try while no list could be read.
+    The port is the same at all VMs. ``seeds`` are IP addresses that get
+    heartbeats while the list of VMs could not be read.
     """
 
     vm: str
@@ -84,25 +86,25 @@
 
 
 class Heartbeats(Service):
-    """Sends and takes in heartbeats.
+    """Sends and receives heartbeats and digests.
 
     Parameters
     ----------
     vms : VmTable
-        Gets what is heard.
+        Stores what is received.
     ledger : UsageLedger
-        Counters to send and to take in.
+        The usage counters to send, and to update from other VMs.
     gathering : Gathering
-        Says whom this VM tells what.
-    writer : Writer
-        Says what heartbeats hold.
+        Selects the VMs to send to.
+    writer : HeartbeatSource
+        Builds heartbeats.
     clock : Clock
-        For the time of hearing.
-    here : Here
-        Where heartbeats arrive.
+        Source of the times of sending and receiving.
+    local_vm : LocalVm
+        The address that receives heartbeats.
     call_later : callable, optional
-        Calls a function after some seconds; that of the running loop where
-        left out.
+        Calls a function after some seconds; by default ``call_later`` of
+        the running loop.
     """
 
     def __init__(
@@ -110,9 +112,9 @@
         vms: VmTable,
         ledger: UsageLedger,
         gathering: Gathering,
-        writer: Writer,
+        writer: HeartbeatSource,
         clock: Clock,
-        here: Here,
+        local_vm: LocalVm,
         call_later: Callable[[float, Callable[[], None]], Any] | None = None,
         **kwargs: Any,
     ) -> None:
@@ -123,67 +125,68 @@
         self._gathering = gathering
         self._writer = writer
         self._clock = clock
-        self._here = here
-        self._digests = DigestWriter(vms)
+        self._local_vm = local_vm
+        self._digest_writer = DigestWriter(vms)
         self._relay = UsageRelay()
-        self._wanting: dict[str, bool] = {}
+        self._wants_usages_by_vm: dict[str, bool] = {}
         self._has_new_reader = False
-        self._passing_on: TimerHandle | None = None
+        self._forward_timer: TimerHandle | None = None
         self._transport: DatagramTransport | None = None
         self._beats = 0
-        self._beat_at = clock.now()
+        self._last_beat_at = clock.now()
         self._missing: tuple[str, ...] = ()
 
-    def use(self, transport: DatagramTransport) -> None:
-        """Send through a transport that is open already."""
+    def use_transport(self, transport: DatagramTransport) -> None:
+        """Send through a transport that is already open."""
         self._transport = transport
 
     async def on_start(self) -> None:
         """Open the socket."""
         loop = get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(
-            lambda: _Receiver(self.take_in),
-            local_addr=(self._here.ip, self._here.port),
+            lambda: _Receiver(self.receive),
+            local_addr=(self._local_vm.ip, self._local_vm.port),
         )
 
     async def on_stop(self) -> None:
         """Close the socket."""
-        if self._passing_on is not None:
-            self._passing_on.cancel()
+        if self._forward_timer is not None:
+            self._forward_timer.cancel()
         if self._transport is not None:
             self._transport.close()
 
     def report_if_due(self, organisation: str) -> None:
-        """Tell the others at once where much was admitted."""
+        """Report at once if many operations were admitted."""
         if not self._ledger.is_report_due(organisation):
             return
         if self._gathering.is_direct:
-            self._tell_each(everything=False, may_be_brief=True)
+            self._send_to_all(is_full=False, may_be_brief=True)
             return
         now = self._clock.now()
         if self._gathering.gathers(now):
-            self._pass_on_soon()
-        self._report(everything=False, may_be_brief=True, is_urgent=True)
+            self._schedule_forward()
+        self._report(is_full=False, may_be_brief=True, is_urgent=True)
 
-    def greet(self) -> None:
-        """Send a heartbeat at once to listed VMs that aren't heard.
+    def announce(self) -> None:
+        """Send a heartbeat at once to VMs that aren't alive, or to gatherers.
 
-        A VM that starts uses the part of each rate that the VMs in
-        hearing make up. When a whole fleet starts again, waiting for the
-        next heartbeats refuses callers for a quarter of a second more.
+        A VM that starts may only use the part of each rate that belongs
+        to the VMs that are alive. When a whole fleet restarts, waiting
+        for the next heartbeat would mean that callers are refused for a
+        quarter of a second more.
         """
         if not self._gathering.is_direct:
-            self._report(everything=True, may_be_brief=False)
+            self._report(is_full=True, may_be_brief=False)
             return
         now = self._clock.now()
         for address in self._targets():
             if not self._vms.is_alive(address.vm, now):
-                self._greet_one(address)
+                self._announce_to(address)
 
     def forget(self, vm: str) -> None:
-        """Drop what is kept of a VM that is gone for good."""
+        """Drop the state of a VM that has left the fleet for good."""
         self._relay.forget(vm)
-        self._wanting.pop(vm, None)
+        self._wants_usages_by_vm.pop(vm, None)
 
     @Service.task
     async def _beat(self) -> None:
@@ -193,72 +196,72 @@
         self.beat()
 
     def beat(self) -> None:
-        """Send what is due with one heartbeat."""
-        self._log_hearing(self._clock.now())
+        """Send a heartbeat and, from a gatherer, its digests."""
+        self._log_missing(self._clock.now())
         beats = self._beats
         self._beats += 1
-        everything = beats % FULL_EVERY == 0
+        is_full = beats % FULL_REPORT_EVERY == 0
         may_be_brief = beats % HEALTH_EVERY != 0
-        self._note_role(self._gathering.gathers(self._clock.now()))
+        self._update_role(self._gathering.gathers(self._clock.now()))
         if self._gathering.is_direct:
-            self._tell_each(everything, may_be_brief)
+            self._send_to_all(is_full, may_be_brief)
             return
-        self._report(everything, may_be_brief)
+        self._report(is_full, may_be_brief)
         if self._vms.gathers:
-            self._pass_on(may_be_brief, everything)
+            self._send_digests(may_be_brief, is_full)
 
-    def _log_hearing(self, now: float) -> None:
-        """Log each change of which VMs are in hearing."""
+    def _log_missing(self, now: float) -> None:
+        """Log the listed VMs that aren't alive, each time they change."""
         missing = self._vms.missing(now)
         if missing != self._missing:
             log_event(
                 "fleet-hearing",
                 part=round(self._vms.part(now), 3),
                 missing=len(missing),
-                some_missing=missing[:_NAMES_LOGGED],
+                some_missing=missing[:_MAX_NAMES_LOGGED],
                 cell_age_ms={
                     report.cell: report.age_ms
                     for report in self._vms.cells(now, float("inf"))
                 },
-                beat_s=round(now - self._beat_at, 3),
+                beat_s=round(now - self._last_beat_at, 3),
             )
         self._missing = missing
-        self._beat_at = now
+        self._last_beat_at = now
 
-    def _note_role(self, gathers: bool) -> None:
+    def _update_role(self, gathers: bool) -> None:
         if gathers != self._vms.gathers and not self._gathering.is_direct:
             log_event("gathers", gathers=gathers, cell=self._gathering.cell)
         self._vms.gathers = gathers
 
-    # Each to each --------------------------------------------------------
+    # Direct heartbeats ---------------------------------------------------
 
-    def _tell_each(self, everything: bool, may_be_brief: bool) -> None:
-        usages = self._ledger.take_report(everything, self._clock.now())
+    def _send_to_all(self, is_full: bool, may_be_brief: bool) -> None:
+        usages = self._ledger.take_report(is_full, self._clock.now())
         heartbeat = self._writer.describe(may_be_brief)
         for address in self._targets():
             self._send_heartbeat(address, heartbeat, usages)
 
-    def _greet_one(self, address: VmAddress) -> None:
+    def _announce_to(self, address: VmAddress) -> None:
         self._send_heartbeat(address, self._writer.describe(False), ())
 
     def _targets(self) -> tuple[VmAddress, ...]:
-        known = self._vms.addresses(self._here.port)
+        known = self._vms.addresses(self._local_vm.port)
         if known:
             return known
         return tuple(
-            VmAddress("", ip, self._here.port)
-            for ip in self._here.seeds
-            if ip != self._here.ip
+            VmAddress("", ip, self._local_vm.port)
+            for ip in self._local_vm.seeds
+            if ip != self._local_vm.ip
         )
 
-    # By gatherers --------------------------------------------------------
+    # Heartbeats by way of gatherers --------------------------------------
 
     def _report(
-        self, everything: bool, may_be_brief: bool, is_urgent: bool = False
+        self, is_full: bool, may_be_brief: bool, is_urgent: bool = False
     ) -> None:
-        """Tell this VM's gatherers how it does and what it has used."""
+        """Send a heartbeat with usage counters to this VM's gatherers."""
         now = self._clock.now()
-        usages = self._ledger.take_report(everything, now)
+        usages = self._ledger.take_report(is_full, now)
         heartbeat = self._writer.describe(may_be_brief)
         if self._vms.gathers:
             self._relay.record(
@@ -266,65 +269,75 @@
             )
         gatherers = self._gathering.gatherers(now)
         for number, address in enumerate(gatherers):
-            told = heartbeat._replace(
+            report = heartbeat._replace(
                 wants_usages=number == 0 and not self._vms.gathers,
                 is_urgent=is_urgent,
             )
-            self._send_heartbeat(address, told, usages)
+            self._send_heartbeat(address, report, usages)
         self._gathering.note_sent((item.vm for item in gatherers), now)
 
-    def _pass_on_soon(self) -> None:
-        if self._passing_on is None:
+    def _schedule_forward(self) -> None:
+        if self._forward_timer is None:
             call_later = self._call_later or get_running_loop().call_later
-            self._passing_on = call_later(PASS_ON_S, self._pass_on_now)
+            self._forward_timer = call_later(
+                FORWARD_DELAY_S, self._forward_counters
+            )
 
-    def _pass_on_now(self) -> None:
-        """Pass on counters that others need soon, and nothing else."""
-        self._passing_on = None
+    def _forward_counters(self) -> None:
+        """Forward urgent counters, and nothing else."""
+        self._forward_timer = None
         cell = self._gathering.cell
         if cell is None or not self._can_send:
             return
         now = self._clock.now()
         own = self._writer.describe(True)
-        digest = self._digests.of_counters(own)
-        news = self._relay.take_changed()
-        far = self._gathering.other_cell_gatherers(now)
-        self._send_digest(digest, far, self._relay.select_own_cell(news), now)
-        readers = self._wanting_readers(now)
-        self._send_digest(digest, readers, news, now)
-
-    def _pass_on(self, may_be_brief: bool, everything: bool) -> None:
-        """Tell other gatherers of this cell, and its VMs of all."""
+        digest = self._digest_writer.build_counters_digest(own)
+        changed = self._relay.take_changed()
+        other_gatherers = self._gathering.other_cell_gatherers(now)
+        self._send_digest(
+            digest, other_gatherers, self._relay.select_own_cell(changed), now
+        )
+        readers = self._usage_readers(now)
+        self._send_digest(digest, readers, changed, now)
+
+    def _send_digests(self, may_be_brief: bool, is_full: bool) -> None:
+        """Send the cell's digest to other gatherers, the fleet's to VMs."""
         cell = self._gathering.cell
         if cell is None or not self._can_send:
             return
         now = self._clock.now()
         own = self._writer.describe(False)
-        news = self._relay.take_changed()
-        digest = self._digests.of_cell(own, cell, may_be_brief, now)
-        digest = self._digests.leave_out_known(digest, everything)
-        far = self._gathering.other_cell_gatherers(now)
+        changed = self._relay.take_changed()
+        digest = self._digest_writer.build_cell_digest(
+            own, cell, may_be_brief, now
+        )
+        digest = self._digest_writer.omit_sent_sets(digest, is_full)
+        other_gatherers = self._gathering.other_cell_gatherers(now)
         counters = (
-            *self._relay.select_own_cell(news),
+            *self._relay.select_own_cell(changed),
             *self._relay.next_repeated(),
         )
-        self._send_digest(digest, far, counters, now)
-        self._gathering.note_sent((item.vm for item in far), now)
-        has_new, self._has_new_reader = self._has_new_reader, False
-        digest = self._digests.of_fleet(own, cell, may_be_brief, now)
-        digest = self._digests.leave_out_known(digest, everything or has_new)
-        readers = self._wanting_readers(now)
-        self._send_digest(digest, readers, news, now)
-        # The others have the rest from another gatherer, until it dies.
+        self._send_digest(digest, other_gatherers, counters, now)
+        self._gathering.note_sent((item.vm for item in other_gatherers), now)
+        has_new_reader, self._has_new_reader = self._has_new_reader, False
+        digest = self._digest_writer.build_fleet_digest(
+            own, cell, may_be_brief, now
+        )
+        digest = self._digest_writer.omit_sent_sets(
+            digest, is_full or has_new_reader
+        )
+        readers = self._usage_readers(now)
+        self._send_digest(digest, readers, changed, now)
+        # The other VMs get the rest from another gatherer, until it fails.
         reporters = self._gathering.reporters(now)
         others = [item for item in reporters if item not in readers]
         self._send_digest(digest.without_health(), others, (), now)
 
-    def _wanting_readers(self, now: float) -> list[VmAddress]:
+    def _usage_readers(self, now: float) -> list[VmAddress]:
         return [
             item
             for item in self._gathering.reporters(now)
-            if self._wanting.get(item.vm)
+            if self._wants_usages_by_vm.get(item.vm)
         ]
 
     def _send_digest(
@@ -337,11 +350,13 @@
         readers = tuple(readers)
         if not readers:
             return
-        told = self._digests.for_readers(digest, readers, now)
-        datagrams = tuple(pack_digests(told, tuple(usages)))
+        with_echoes = self._digest_writer.add_echoes(digest, readers, now)
+        datagrams = tuple(pack_digests(with_echoes, tuple(usages)))
         for address in readers:
             for datagram in datagrams:
-                self._transport.sendto(datagram, (address.ip, self._here.port))
+                self._transport.sendto(
+                    datagram, (address.ip, self._local_vm.port)
+                )
 
     # The socket ----------------------------------------------------------
 
@@ -360,21 +375,23 @@
         if not self._can_send:
             return
         echo = self._vms.echo_for(address.vm, self._clock.now())
-        told = heartbeat._replace(echo=echo)
-        for datagram in pack_heartbeats(told, usages):
-            self._transport.sendto(datagram, (address.ip, self._here.port))
+        with_echo = heartbeat._replace(echo=echo)
+        for datagram in pack_heartbeats(with_echo, usages):
+            self._transport.sendto(datagram, (address.ip, self._local_vm.port))
 
-    def take_in(self, datagram: bytes, ip: str) -> None:
-        """Take in a datagram from another VM."""
+    def receive(self, datagram: bytes, ip: str) -> None:
+        """Apply a datagram from another VM."""
         message = unpack(datagram, ip)
         if message is None:
             log_event("heartbeat-unreadable", size=len(datagram))
         elif isinstance(message, HeartbeatWithUsages):
-            self._take_heartbeat(message, ip)
+            self._receive_heartbeat(message, ip)
         else:
-            self._take_digest(message)
+            self._receive_digest(message)
 
-    def _take_heartbeat(self, message: HeartbeatWithUsages, ip: str) -> None:
+    def _receive_heartbeat(
+        self, message: HeartbeatWithUsages, ip: str
+    ) -> None:
         heartbeat, usages = message
         now = self._clock.now()
         vm = heartbeat.vm
@@ -383,56 +400,56 @@
         self._writer.take_samples(
             heartbeat.samples, heartbeat.earliest_sent_at()
         )
-        news = self._ledger.note_peer(vm, heartbeat.boot, usages, now)
+        changed = self._ledger.note_peer(vm, heartbeat.boot, usages, now)
         if self._gathering.is_direct:
             if is_new:
-                self._greet_one(VmAddress(vm, ip, self._here.port))
+                self._announce_to(VmAddress(vm, ip, self._local_vm.port))
             return
-        if vm not in self._wanting:
+        if vm not in self._wants_usages_by_vm:
             self._has_new_reader = True
         self._gathering.note_report(vm, now)
-        self._relay.record(vm, heartbeat.boot, news, is_own=True)
-        self._wanting[vm] = heartbeat.wants_usages
-        if news and heartbeat.is_urgent:
-            self._pass_on_soon()
+        self._relay.record(vm, heartbeat.boot, changed, is_own=True)
+        self._wants_usages_by_vm[vm] = heartbeat.wants_usages
+        if changed and heartbeat.is_urgent:
+            self._schedule_forward()
 
-    def _take_digest(self, digest: Digest) -> None:
+    def _receive_digest(self, digest: Digest) -> None:
         now = self._clock.now()
-        if digest.vm == self._here.vm:
+        if digest.vm == self._local_vm.vm:
             return
         self._vms.note_digest(digest, now)
         self._gathering.note_digest(digest.vm, now)
-        echo = digest.echo_by_number.get(vm_number(self._here.vm))
-        left_at = None if echo is None else echo.earliest_sent_at()
-        self._writer.take_samples(digest.samples, left_at)
-        self._take_usages(digest, now)
-
-    def _take_usages(self, digest: Digest, now: float) -> None:
-        """Take in counters; a gatherer passes on those of other cells."""
-        relays = self._vms.gathers and not digest.is_fleet
-        is_news = False
+        echo = digest.echo_by_number.get(vm_number(self._local_vm.vm))
+        earliest_sent_at = None if echo is None else echo.earliest_sent_at()
+        self._writer.take_samples(digest.samples, earliest_sent_at)
+        self._receive_usages(digest, now)
+
+    def _receive_usages(self, digest: Digest, now: float) -> None:
+        """Apply counters; a gatherer forwards those of other cells."""
+        is_forwarded = self._vms.gathers and not digest.is_fleet
+        has_changed = False
         for item in digest.usages.iter_usages():
-            news = self._ledger.note_peer(
+            changed = self._ledger.note_peer(
                 item.vm, item.boot, (item.usage,), now
             )
-            if relays and news:
-                self._relay.record(item.vm, item.boot, news, is_own=False)
-                is_news = True
-        if is_news and digest.is_urgent:
-            self._pass_on_soon()
+            if is_forwarded and changed:
+                self._relay.record(item.vm, item.boot, changed, is_own=False)
+                has_changed = True
+        if has_changed and digest.is_urgent:
+            self._schedule_forward()
 
 
 class _Receiver(DatagramProtocol):
-    def __init__(self, take_in: Callable[[bytes, str], None]) -> None:
-        self._take_in = take_in
+    def __init__(self, receive: Callable[[bytes, str], None]) -> None:
+        self._on_datagram = receive
 
     def datagram_received(self, data: bytes, addr: tuple) -> None:
-        self._take_in(data, addr[0])
+        self._on_datagram(data, addr[0])
 
     def error_received(self, exc: Exception) -> None:
         log_event("heartbeat-unsent", reason=type(exc).__name__)
 
 
 def new_boot() -> int:
-    """Return a number that tells this start from others of this VM."""
+    """Return a number that is different for each start of this VM."""
     return time_ns()
--- a/redwingpost/node/fleet/readiness_inputs.py
+++ b/redwingpost/node/fleet/readiness_inputs.py
@@ -1,4 +1,4 @@
-"""What this VM can do for callers, and whether others can do more."""
+"""Inputs of readiness: the groups that this VM and other VMs can serve."""
 
 from redwingpost.membership.centres import CentreWatch
 from redwingpost.membership.heartbeat import Heartbeat
@@ -7,13 +7,14 @@
 from redwingpost.node.group import GroupClient
 from redwingpost.node.request.admission import Admission
 
-#: Milliseconds within which a primary answered another VM lately enough
-#: to count as reached: longer than a question and its time limit take.
+#: Milliseconds for which a primary may fail or leave a write unanswered at
+#: another VM and still count as reached there: longer than a request with
+#: its timeout.
 _REACHED_MS = 1500
 
 
 class ReadinessView:
-    """Describes the VM to the judgement of its readiness."""
+    """Collects the inputs that decide whether this VM is ready."""
 
     def __init__(
         self,
@@ -43,9 +44,10 @@
         )
 
     def _is_served(self, group: GroupClient, now: float) -> bool:
-        """Say whether callers of a group are served over this VM.
+        """Return whether callers of a group can be served by this VM.
 
-        A home elsewhere does that, unless this VM is behind a cut.
+        If the group's home is another VM, that VM serves them, unless
+        this VM is cut off from the others.
         """
         if group.is_home(now):
             return group.is_useful()
@@ -53,16 +55,16 @@
 
 
 def most_reached(vms: VmTable, now: float) -> int:
-    """Return the most primaries that another VM says it reaches."""
-    told = [report.reached for report in vms.cells(now)]
-    told.extend(
-        reached_by(heartbeat) for heartbeat in vms.fresh_heartbeats(now)
+    """Return the highest number of primaries that another VM reaches."""
+    counts = [report.reached for report in vms.cells(now)]
+    counts.extend(
+        count_reached(heartbeat) for heartbeat in vms.fresh_heartbeats(now)
     )
-    return max(told, default=0)
+    return max(counts, default=0)
 
 
-def reached_by(heartbeat: Heartbeat) -> int:
-    """Return how many primaries a VM reaches, as it says itself."""
+def count_reached(heartbeat: Heartbeat) -> int:
+    """Return the number of primaries that a VM reports as reached."""
     return sum(
         health.failing_ms < _REACHED_MS and health.stuck_ms < _REACHED_MS
         for health in heartbeat.health_by_primary.values()
--- a/redwingpost/node/fleet/registry.py
+++ b/redwingpost/node/fleet/registry.py
@@ -1,4 +1,4 @@
-"""Feed the configuration and the members into the node's state."""
+"""Apply rows of the configuration and of members to this VM's state."""
 
 from collections.abc import Callable
 
@@ -26,20 +26,20 @@
         self._on_change = on_change
 
     def on_snapshot(self, snapshot: Snapshot) -> None:
-        """Take in the whole table."""
+        """Apply the whole table."""
         self.on_rows(snapshot.rows)
 
     def on_rows(self, rows: tuple[Row, ...]) -> None:
-        """Take in rows that changed."""
+        """Apply rows that changed."""
         for row in rows:
             if row.key == self._format.configuration_key:
-                self.take(row)
+                self.apply_if_newer(row)
 
     def on_removed(self, keys: tuple[str, ...]) -> None:
-        """Keep what is in force: a configuration is never withdrawn."""
+        """Ignore removals: a configuration stays in force."""
 
-    def take(self, row: Row) -> None:
-        """Put a configuration in force if it is newer."""
+    def apply_if_newer(self, row: Row) -> None:
+        """Put a configuration in force if it is newer than the present."""
         try:
             rules = self._format.decode_configuration(row)
         except (EntryError, AttributeError, TypeError) as error:
@@ -51,9 +51,9 @@
 
 
 class MemberReader:
-    """Keeps the directory in step with the members' entries.
+    """Keeps the directory up to date with the members' entries.
 
-    ``answers`` says of a member whether it answers this VM.
+    ``answers`` returns whether a member answers this VM.
     """
 
     def __init__(
@@ -71,14 +71,14 @@
         self._answers = answers
 
     def on_snapshot(self, snapshot: Snapshot) -> None:
-        """Take in the whole list."""
+        """Apply the whole list."""
         entries = (self._decode(row) for row in snapshot.rows)
         present = tuple(entry for entry in entries if entry is not None)
         self._directory.replace(present, self._clock.now(), self._answers)
         self._on_change()
 
     def on_rows(self, rows: tuple[Row, ...]) -> None:
-        """Take in entries that changed."""
+        """Apply entries that changed."""
         now = self._clock.now()
         for row in rows:
             entry = self._decode(row)
@@ -89,7 +89,7 @@
         self._on_change()
 
     def on_removed(self, keys: tuple[str, ...]) -> None:
-        """Take in that entries were removed."""
+        """Apply the removal of entries."""
         for key in keys:
             answers = self._answers(key)
             log_event("member-removed", member=key, answers=answers)
@@ -97,7 +97,7 @@
         self._on_change()
 
     def _decode(self, row: Row):
-        """Return a member's entry; one that can't be read names none."""
+        """Return a member's entry; None if it can't be read."""
         try:
             return self._format.decode_member(row)
         except EntryError as error:
--- a/redwingpost/node/fleet/relayed_store.py
+++ b/redwingpost/node/fleet/relayed_store.py
@@ -1,4 +1,4 @@
-"""The fleet's store, with its feeds followed at a neighbour's copy."""
+"""The fleet's store, with changes read from a gatherer's copy."""
 
 from asyncio import CancelledError, Task, create_task, sleep, wait
 from collections.abc import Callable
@@ -10,54 +10,57 @@
 from redwingpost.core.requests import Refusal
 from redwingpost.membership.gathering import Gathering
 from redwingpost.membership.heartbeat import VmAddress
-from redwingpost.node.fleet.table_pages import read_changes, table_target
+from redwingpost.node.fleet.table_pages import read_changes, table_request_path
 from redwingpost.observability.journal import log_event
 from redwingpost.ports.clock import Clock
 from redwingpost.ports.fleet_store import Changes, FleetStore, Snapshot
 from redwingpost.ports.platform import Condition, TransactResult, Write
 
-#: Seconds beyond its wait after which a neighbour's answer counts as lost.
+#: Seconds beyond the requested wait after which a request to a gatherer
+#: times out.
 _MARGIN_S = 1.0
 
-#: Seconds between looks whether the neighbour is still the one to follow:
-#: one that is cut off would hold up news for as long as the wait.
-_LOOK_S = 0.25
+#: Seconds between checks whether the gatherer is still one of this VM's: a
+#: gatherer that is cut off would delay changes for as long as the wait.
+_RECHECK_S = 0.25
 
-#: Seconds that a VM which has just started waits for the list of VMs,
-#: which says whom to follow.
-_LIST_S = 0.5
+#: Seconds that a VM which has just started waits for the list of VMs, from
+#: which it selects its gatherers.
+_LIST_WAIT_S = 0.5
 
 #: Seconds after its start from which a VM that is new to the list follows
-#: the list, and other tables. A whole fleet that starts for the first time
-#: enters the list one by one; followed at once, each entry would wake all
-#: that have entered before.
-_NEW_LIST_S = 0.6
-_NEW_OTHERS_S = 0.9
+#: the list, and the other tables. When a whole fleet starts for the first
+#: time, its VMs enter the list one by one. If they followed it at once,
+#: each entry would wake all VMs that entered before.
+_NEW_VM_LIST_DELAY_S = 0.6
+_NEW_VM_OTHERS_DELAY_S = 0.9
 
-#: Seconds between looks at what a VM waits for at its start.
-_STEP_S = 0.02
+#: Seconds between checks of what a VM waits for at its start.
+_POLL_S = 0.02
 
-#: Seconds for which a VM leaves the store alone whose gatherers have lost
-#: it: otherwise all VMs would ask a store that is down again and again.
-#: What it misses meanwhile it hears of in heartbeats.
-STORE_REST_S = 4.0
+#: Seconds between requests to the store by a VM whose gatherers can't reach
+#: it: otherwise all VMs would load a store that is down with repeated
+#: requests. Meanwhile heartbeats show which configuration is the newest.
+STORE_BACKOFF_S = 4.0
 
 
 class RelayedStore:
-    """Implements ``FleetStore``; gatherers and small fleets ask the store.
+    """Implements ``FleetStore``; reads changes from a gatherer if it can.
+
+    Gatherers, and all VMs of a small fleet, read them from the store.
 
     Parameters
     ----------
     store : FleetStore
         The store itself.
     gathering : Gathering
-        Says who gathers.
+        Selects this VM's gatherers.
     port : int
-        Where all VMs show their copies.
+        The metrics port of all VMs, which serves the copies.
     list_table : str
-        The table of VMs.
+        Name of the table of VMs.
     clock : Clock
-        For the rest of the store.
+        Measures the delays.
     """
 
     def __init__(
@@ -75,7 +78,7 @@
         self._clock = clock
         self._started_at = clock.now()
         self._client_by_table: dict[str, tuple[str, HttpClient]] = {}
-        self._asked_store_at: dict[str, float] = {}
+        self._store_queried_at_by_table: dict[str, float] = {}
         self._source_by_table: dict[str, str] = {}
 
     async def snapshot(self, table: str) -> Result[Snapshot, Refusal]:
@@ -93,93 +96,97 @@
     ) -> Result[Changes, Refusal]:
         """Wait for changes after a version."""
         await self._wait_for_list(table)
-        is_lost = False
-        for relay in self._relays():
-            if relay not in self._relays():
-                # Another is to be followed by now.
+        is_store_lost = False
+        for gatherer in self._gatherers():
+            if gatherer not in self._gatherers():
+                # It is no longer one of this VM's gatherers.
                 continue
-            got = await self._follow(relay, table, after, wait_s)
+            got = await self._fetch_from(gatherer, table, after, wait_s)
             if got is None:
                 continue
             if got.is_ok():
-                self._note_source(table, relay.vm)
+                self._note_source(table, gatherer.vm)
                 return got
-            is_lost = is_lost or got.error.code is Code.STORE_UNAVAILABLE
-        if is_lost and not self._may_ask_store(table):
-            detail = "lost to this VM's gatherers"
+            is_store_lost = (
+                is_store_lost or got.error.code is Code.STORE_UNAVAILABLE
+            )
+        if is_store_lost and not self._may_query_store(table):
+            detail = "this VM's gatherers can't reach the store"
             return Error(Refusal(Code.STORE_UNAVAILABLE, detail))
-        self._asked_store_at[table] = self._clock.now()
+        self._store_queried_at_by_table[table] = self._clock.now()
         got = await self._store.changes(table, after, wait_s)
         if got.is_ok():
             self._note_source(table, "store")
         return got
 
     def _note_source(self, table: str, source: str) -> None:
-        """Log from whom a table's changes come, where that changes."""
+        """Log the source of a table's changes, each time it changes."""
         if self._source_by_table.get(table) != source:
             self._source_by_table[table] = source
             log_event("table-source", table=table, source=source)
 
-    def _relays(self) -> tuple[VmAddress, ...]:
+    def _gatherers(self) -> tuple[VmAddress, ...]:
         now = self._clock.now()
         if self._gathering.is_direct or self._gathering.gathers(now):
             return ()
         return self._gathering.gatherers(now)
 
-    def _may_ask_store(self, table: str) -> bool:
-        asked_at = self._asked_store_at.get(table, float("-inf"))
-        return self._clock.now() - asked_at >= STORE_REST_S
+    def _may_query_store(self, table: str) -> bool:
+        queried_at = self._store_queried_at_by_table.get(table, float("-inf"))
+        return self._clock.now() - queried_at >= STORE_BACKOFF_S
 
     async def _wait_for_list(self, table: str) -> None:
-        """Wait until this VM can know whom to follow."""
-        await self._wait_until(_LIST_S, lambda: self._gathering.has_list)
+        """Wait until this VM can select its gatherers."""
+        await self._wait_until(_LIST_WAIT_S, lambda: self._gathering.has_list)
         if self._gathering.is_new:
             is_list = table == self._list_table
-            after_s = _NEW_LIST_S if is_list else _NEW_OTHERS_S
+            after_s = (
+                _NEW_VM_LIST_DELAY_S if is_list else _NEW_VM_OTHERS_DELAY_S
+            )
             await self._wait_until(after_s, lambda: False)
 
     async def _wait_until(
         self, after_s: float, holds: Callable[[], bool]
     ) -> None:
-        """Wait until something holds, or until a time after the start."""
+        """Wait for a condition, at most until ``after_s`` from the start."""
         until = self._started_at + after_s
         while self._clock.now() < until and not holds():
-            await sleep(_STEP_S)
+            await sleep(_POLL_S)
 
-    async def _follow(
-        self, relay: VmAddress, table: str, after: int, wait_s: float
+    async def _fetch_from(
+        self, gatherer: VmAddress, table: str, after: int, wait_s: float
     ) -> Result[Changes, Refusal] | None:
-        """Return a neighbour's news; None once it is not to be followed."""
-        client = self._client(relay, table)
-        target = table_target(table, after, wait_s)
+        """Return a gatherer's changes; None once it is no longer selected."""
+        client = self._client(gatherer, table)
+        target = table_request_path(table, after, wait_s)
         timeout_s = wait_s + _MARGIN_S
-        asking = create_task(client.request("GET", target, timeout_s))
+        pending = create_task(client.request("GET", target, timeout_s))
         try:
-            while not asking.done():
-                await wait((asking,), timeout=_LOOK_S)
-                if not asking.done() and relay not in self._relays():
-                    await _end(asking)
+            while not pending.done():
+                await wait((pending,), timeout=_RECHECK_S)
+                if not pending.done() and gatherer not in self._gatherers():
+                    await _cancel(pending)
                     return None
-            return read_changes(await asking)
+            return read_changes(await pending)
         except HttpLost as lost:
-            log_event("relay-lost", vm=relay.vm, detail=str(lost))
+            log_event("relay-lost", vm=gatherer.vm, detail=str(lost))
             return Error(Refusal(Code.PEER_REFUSED, str(lost)))
         except CancelledError:
-            await _end(asking)
+            await _cancel(pending)
             raise
 
-    def _client(self, relay: VmAddress, table: str) -> HttpClient:
-        known = self._client_by_table.get(table)
-        if known is not None and known[0] == relay.ip:
-            return known[1]
-        if known is not None:
-            known[1].close()
-        client = HttpClient(relay.ip, self._port)
-        self._client_by_table[table] = (relay.ip, client)
+    def _client(self, gatherer: VmAddress, table: str) -> HttpClient:
+        cached = self._client_by_table.get(table)
+        if cached is not None and cached[0] == gatherer.ip:
+            return cached[1]
+        if cached is not None:
+            cached[1].close()
+        client = HttpClient(gatherer.ip, self._port)
+        self._client_by_table[table] = (gatherer.ip, client)
         return client
 
 
-async def _end(asking: Task) -> None:
+async def _cancel(pending: Task) -> None:
     """Cancel a request; its connection closes with it."""
-    asking.cancel()
-    await wait((asking,))
+    pending.cancel()
+    await wait((pending,))
--- a/redwingpost/node/fleet/table_copy.py
+++ b/redwingpost/node/fleet/table_copy.py
@@ -1,4 +1,4 @@
-"""What changed in a table lately, as a VM knows it, for its neighbours."""
+"""A VM's copy of a table and its recent changes, for other VMs."""
 
 from asyncio import Event, wait_for
 from collections import deque
@@ -7,8 +7,8 @@
 from redwingpost.ports.fleet_store import Changes, RowChange, Snapshot
 from redwingpost.ports.platform import Row
 
-#: Batches of changes that are kept: a neighbour that turns here from
-#: another VM is a few behind.
+#: Batches of changes that are kept: a reader that changes over from another
+#: VM is a few batches behind.
 KEPT_BATCHES = 64
 
 
@@ -18,11 +18,11 @@
 
 
 class TableCopy:
-    """Changes as the store told them, with the versions that it gave.
+    """Rows and recent changes of a table, with the store's versions.
 
-    A reader may go from here to the store, or to another VM, and back: all
-    count by the store's versions. It may get a change twice then, always
-    followed by what came after it.
+    A reader may change over from this copy to the store or to another VM's
+    copy, and back, as all of them use the store's versions. It may then
+    get a change twice, followed by all later changes of the same row.
 
     Examples
     --------
@@ -42,14 +42,14 @@
         self._changed = Event()
 
     def note_snapshot(self, snapshot: Snapshot) -> None:
-        """Take in that the whole table was read."""
+        """Replace the copy by the whole table."""
         self._batches.clear()
         self.row_by_key = {row.key: row for row in snapshot.rows}
         self._from_version = snapshot.version
         self._advance(snapshot.version)
 
     def note_changes(self, changes: Changes) -> None:
-        """Take in what the store told since."""
+        """Apply changes since the last call."""
         if changes.changes:
             if len(self._batches) == KEPT_BATCHES:
                 self._from_version = self._batches[0].version
@@ -70,14 +70,14 @@
         return Changes(changes, max(self.version or 0, after))
 
     async def wait(self, after: int, wait_s: float) -> Changes:
-        """Return what changed after a version once anything has."""
+        """Wait for changes after a version and return them."""
         found = self.since(after)
         if found.changes or found.history_lost:
             return found
         try:
             await wait_for(self._changed.wait(), wait_s)
         except TimeoutError:
-            # Nothing changed: that is an answer as well.
+            # Nothing changed within the wait: return that result.
             return found
         return self.since(after)
 
--- a/redwingpost/node/fleet/table_pages.py
+++ b/redwingpost/node/fleet/table_pages.py
@@ -1,9 +1,10 @@
-"""Hand a table's rows and changes from VM to VM.
+"""Serve a table's changes to other VMs.
 
 Load pattern: every VM follows three tables of the fleet's store. Each
-change wakes all of them, and each asks again: at 200 VMs one new
-configuration is 200 calls, and a start of the fleet 200 times 200. So
-only gatherers follow the store; the others follow a gatherer here.
+change wakes all VMs, and each of them sends a new request: with 200 VMs
+one new configuration costs 200 requests, and a start of the fleet 200
+times 200. So only gatherers follow the store; the other VMs follow a
+gatherer through these pages.
 """
 
 from collections.abc import Callable
@@ -21,32 +22,32 @@
 from redwingpost.ports.platform import Row
 from redwingpost.wire.pages import PageError, pack_page, unpack_page
 
-#: Where a VM shows what changed in its copies, at its metrics port.
+#: Path of the changes of a VM's copies, at its metrics port.
 TABLE_PATH = "/table"
 
-#: What the pages that VMs show each other are made of.
+#: Content type of the pages that VMs serve to each other.
 CONTENT_TYPE = "application/octet-stream"
 
-#: Seconds that a page may wait for a change.
+#: Seconds that a request may wait for a change, at most.
 _MAX_WAIT_S = 30.0
 
 
-def table_target(table: str, after: int, wait_s: float) -> str:
-    """Return what to ask a neighbour for."""
+def table_request_path(table: str, after: int, wait_s: float) -> str:
+    """Return the path and query of a request for changes."""
     fields = {"table": table, "after": after, "wait_ms": int(wait_s * 1e3)}
     return f"{TABLE_PATH}?{urlencode(fields)}"
 
 
 class TablePages:
-    """Shows this VM's copies to its neighbours.
+    """Serves this VM's copies of tables to other VMs.
 
     Parameters
     ----------
     copy_by_table : dict of str to TableCopy
         The copies.
     is_lost : callable
-        Says whether the store has not answered lately for a table. Then
-        neighbours do better elsewhere.
+        Returns whether the last call of the store for a table failed.
+        Then this VM refuses requests, so that others use another source.
     """
 
     def __init__(
@@ -56,10 +57,10 @@
     ) -> None:
         self._copy_by_table = copy_by_table
         self._is_lost = is_lost
-        self._last_by_table: dict[str, tuple[Changes, Page]] = {}
+        self._last_page_by_table: dict[str, tuple[Changes, Page]] = {}
 
     async def page(self, query: str) -> Page:
-        """Return what changed in a table, once anything has."""
+        """Wait for changes of a table and return their page."""
         try:
             fields = dict(parse_qsl(query))
             table = fields["table"]
@@ -76,17 +77,17 @@
         return self._render(table, changes)
 
     def _render(self, table: str, changes: Changes) -> Page:
-        """Return the page of some changes; all neighbours get the same."""
-        last = self._last_by_table.get(table)
+        """Return the page of some changes, packed once for all readers."""
+        last = self._last_page_by_table.get(table)
         if last is not None and last[0] == changes:
             return last[1]
         page = Page(200, pack_page(_encode(changes)), CONTENT_TYPE)
-        self._last_by_table[table] = (changes, page)
+        self._last_page_by_table[table] = (changes, page)
         return page
 
 
 def read_changes(answer: HttpAnswer) -> Result[Changes, Refusal]:
-    """Return a neighbour's answer."""
+    """Return the changes in another VM's answer."""
     if answer.status != 200:
         detail = f"status {answer.status}"
         return Error(Refusal(Code.STORE_UNAVAILABLE, detail))
--- a/redwingpost/node/fleet/vm_list.py
+++ b/redwingpost/node/fleet/vm_list.py
@@ -1,4 +1,4 @@
-"""The list of VMs in the fleet's store: enter, follow, tidy."""
+"""The list of VMs in the fleet's store: entering, reading, removing."""
 
 from collections.abc import Callable
 from typing import Any
@@ -17,23 +17,23 @@
 FLEET_TABLE = "redwing"
 VM_PREFIX = "vm/"
 
-#: Seconds between tries to enter the list.
+#: Seconds between attempts to enter the list.
 _RETRY_S = 0.5
 
-#: Seconds between looks whether the list has been read.
-_LIST_S = 0.02
+#: Seconds between checks whether the list has been read.
+_LIST_POLL_S = 0.02
 
-#: Name under which the VM that tidies is looked up in the order of VMs.
-_TIDY = "tidy"
+#: Subject that ranks the VMs for removals (``VmTable.place``).
+_REMOVAL = "tidy"
 
-#: Seconds between looks for VMs that are gone for good.
-_TIDY_S = 5.0
+#: Seconds between checks for VMs to remove.
+_REMOVAL_INTERVAL_S = 5.0
 
 
 class FleetReader:
-    """Keeps the table of VMs in step with the list.
+    """Keeps the table of VMs up to date with the list.
 
-    ``on_listed`` is called once new entries are taken in.
+    ``on_listed`` is called after new entries have been applied.
     """
 
     def __init__(
@@ -48,12 +48,12 @@
         self._address_by_vm: dict[str, VmAddress] = {}
 
     def on_snapshot(self, snapshot: Snapshot) -> None:
-        """Take in the whole list."""
+        """Apply the whole list."""
         self._address_by_vm.clear()
         self.on_rows(snapshot.rows)
 
     def on_rows(self, rows: tuple[Row, ...]) -> None:
-        """Take in entries that changed."""
+        """Apply entries that changed."""
         for row in rows:
             address = _decode(row)
             if address is not None:
@@ -62,7 +62,7 @@
         self._on_listed()
 
     def on_removed(self, keys: tuple[str, ...]) -> None:
-        """Take in entries that were removed."""
+        """Apply the removal of entries."""
         for key in keys:
             self._address_by_vm.pop(key.removeprefix(VM_PREFIX), None)
         self._set_listed()
@@ -74,9 +74,9 @@
 
 
 class FleetEntry(Service):
-    """Enters this VM in the list and takes long silent ones off it.
+    """Enters this VM in the list and removes VMs silent for too long.
 
-    ``on_gone`` gets the name of each VM that is gone for good.
+    ``on_gone`` gets the name of each VM that has left for good.
     """
 
     def __init__(
@@ -99,11 +99,12 @@
         self._is_leaving = False
 
     async def leave(self) -> None:
-        """Take this VM off the list, unless the fleet is large.
+        """Remove this VM from the list, unless the fleet is large.
 
-        In a small one the others would have to do without its part of
-        each rate until it is back. In a large one that part is nothing,
-        and the entry stands for the VM that starts at this address next.
+        In a small fleet the other VMs could not use this VM's part of each
+        rate as long as it is listed. In a large one that part is
+        negligible, and the entry stays for the VM that starts at this
+        address next.
         """
         self._is_leaving = True
         if self._gathering.is_direct:
@@ -112,13 +113,16 @@
     @Service.task
     async def _enter(self) -> None:
         while not self.should_stop and not self._is_leaving:
-            if self._vms.has_list and await self._is_entered():
+            if self._vms.has_list and await self._enter_if_missing():
                 return
-            pause_s = _RETRY_S if self._vms.has_list else _LIST_S
+            pause_s = _RETRY_S if self._vms.has_list else _LIST_POLL_S
             await self.sleep(pause_s)
 
-    async def _is_entered(self) -> bool:
-        """Enter the list, if this VM isn't on it as it stands."""
+    async def _enter_if_missing(self) -> bool:
+        """Enter the list, if this VM isn't on it with its address.
+
+        Returns whether this VM is on the list.
+        """
         if self._vms.is_listed(self._address):
             return True
         value = {
@@ -129,16 +133,16 @@
         return await self._write(self._address.vm, value)
 
     @Service.task
-    async def _tidy(self) -> None:
-        await repeat(self, self._take_off, _TIDY_S)
+    async def _remove_silent_vms(self) -> None:
+        await repeat(self, self._remove_one_silent_vm, _REMOVAL_INTERVAL_S)
 
-    async def _take_off(self) -> None:
+    async def _remove_one_silent_vm(self) -> None:
         now = self._clock.now()
         for vm in self._vms.forget_long_silent(now):
             self._on_gone(vm)
-        # A VM that hears few may be the one that is cut off. One of the
-        # others is enough: each removal is a call.
-        if not self._vms.hears_half(now) or self._vms.place(_TIDY, now):
+        # A VM that gets heartbeats from few others may be cut off itself.
+        # Of the others, one is enough: each removal is a call of the store.
+        if not self._vms.hears_half(now) or self._vms.place(_REMOVAL, now):
             return
         for vm in self._vms.silent_vms(now)[:1]:
             log_event("vm-taken-off", vm=vm)
--- a/redwingpost/node/fleet/watcher.py
+++ b/redwingpost/node/fleet/watcher.py
@@ -1,4 +1,4 @@
-"""Follow one table of the fleet's store, through its outages."""
+"""Follow one table of the fleet's store, across outages of the store."""
 
 from collections.abc import Callable
 from itertools import groupby
@@ -14,34 +14,34 @@
 from redwingpost.ports.fleet_store import FleetStore, Snapshot
 from redwingpost.ports.platform import Row
 
-#: Seconds that a feed waits for a change. A connection that went silent
-#: is found by its keep-alive probes, long before.
+#: Seconds that a request waits for a change. The keep-alive probes detect a
+#: dead connection long before.
 FEED_WAIT_S = 30.0
 
-#: Seconds between tries while the store doesn't answer: each VM that asks
-#: it directly does so for three tables.
+#: Seconds between attempts while the store doesn't answer: each VM that
+#: reads from it directly sends them for three tables.
 RETRY_S = 0.4
 
 
-#: Seconds within which a second change makes a series, and for which a
-#: series is left to gather before it is fetched: far below the three
-#: seconds within which a configuration must be in force. Each call is paid
-#: for, and fetched one by one a storm of configurations is as many calls.
-SERIES_S = 0.5
-GATHER_S = 0.2
+#: Seconds within which a second change counts as part of a burst, and the
+#: delay before the changes of a burst are read together: far below the
+#: three seconds within which a configuration must be in force. Each call is
+#: paid for, and reading a burst change by change takes one call for each.
+BURST_GAP_S = 0.5
+BATCH_DELAY_S = 0.2
 
 
 class TableReader(Protocol):
-    """What is done with the rows of a table."""
+    """Applies the rows of a table."""
 
     def on_snapshot(self, snapshot: Snapshot) -> None:
-        """Take in the whole table."""
+        """Apply the whole table."""
 
     def on_rows(self, rows: tuple[Row, ...]) -> None:
-        """Take in rows that changed."""
+        """Apply rows that changed."""
 
     def on_removed(self, keys: tuple[str, ...]) -> None:
-        """Take in that rows were removed."""
+        """Apply the removal of rows."""
 
 
 class TableWatcher(Service):
@@ -50,15 +50,15 @@
     Parameters
     ----------
     store : FleetStore
-        Where the table is.
+        The store with the table.
     table : str
-        Its name.
+        The name of the table.
     reader : TableReader
-        Gets what the table holds and what changes.
+        Receives the rows of the table and their changes.
     clock : Clock
-        For the time of changes.
+        Source of the times of answers and changes.
     on_regained : callable, optional
-        Called when the store answers again after it didn't.
+        Called when the store answers again after a failed call.
     """
 
     def __init__(
@@ -93,7 +93,7 @@
         return self._answered_at > float("-inf")
 
     async def read_now(self) -> bool:
-        """Read the whole table; False where the store didn't answer."""
+        """Read the whole table; return False if the store didn't answer."""
         got = await self._store.snapshot(self.table)
         if got.is_error():
             self._note_lost(got.error.detail)
@@ -113,15 +113,15 @@
         while not self.should_stop:
             if self._version is None and not await self.read_now():
                 return
-            if self._version is not None and not await self._wait_once():
+            if self._version is not None and not await self._read_changes():
                 return
 
-    async def _wait_once(self) -> bool:
+    async def _read_changes(self) -> bool:
         got = await self._store.changes(self.table, self._version, FEED_WAIT_S)
         if got.is_error():
             self._note_lost(got.error.detail)
-            # What was removed while the feed was away shows in the whole
-            # table only if the history is gone; the feed tells the rest.
+            # Removals during the outage follow in the feed. The whole table
+            # is read again only if the store has lost the history.
             return False
         self._note_answer()
         changes = got.ok
@@ -131,24 +131,24 @@
             return True
         self._version = max(self._version, changes.version)
         self.copy.note_changes(changes)
-        for is_removed, run in groupby(
+        for is_removed, consecutive in groupby(
             changes.changes, key=attrgetter("is_removed")
         ):
-            rows = tuple(change.row for change in run)
+            rows = tuple(change.row for change in consecutive)
             if is_removed:
                 self._reader.on_removed(tuple(row.key for row in rows))
             else:
                 self._reader.on_rows(rows)
-        await self._let_gather()
+        await self._delay_in_burst()
         return True
 
-    async def _let_gather(self) -> None:
-        """Pause while changes come in a series; news of one never waits."""
+    async def _delay_in_burst(self) -> None:
+        """Pause if this change belongs to a burst, but not for the first."""
         now = self._clock.now()
-        is_series = now - self._changed_at < SERIES_S
+        is_burst = now - self._changed_at < BURST_GAP_S
         self._changed_at = now
-        if is_series:
-            await self.sleep(GATHER_S)
+        if is_burst:
+            await self.sleep(BATCH_DELAY_S)
 
     def _note_answer(self) -> None:
         self._answered_at = self._clock.now()
--- a/redwingpost/node/metrics.py
+++ b/redwingpost/node/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of a node, by ``prometheus_client``."""
+"""Counters, gauges and histograms of a VM, for Prometheus."""
 
 from prometheus_client import (
     CollectorRegistry,
@@ -8,16 +8,17 @@
     generate_latest,
 )
 
-#: Upper bounds (seconds): targets of today lie between 0.2 and 0.8 s.
+#: Upper bounds of latency (seconds); the configured latency targets lie
+#: between 0.2 and 0.8 s.
 _BUCKETS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0)
 
 
-#: Outcome of an operation that may run; others are names of result codes.
+#: Outcome of an admitted operation; the others are names of result codes.
 GRANTED = "granted"
 
 
 class NodeMetrics:
-    """What a node counts."""
+    """The metrics of one VM."""
 
     def __init__(self) -> None:
         self._registry = CollectorRegistry()
@@ -79,7 +80,7 @@
         self._seconds.labels(kind).observe(seconds)
 
     def note_given_back(self, organisation: str, group: str) -> None:
-        """Count a granted operation that was refused without a run."""
+        """Count a granted operation that no member ran."""
         self._given_back.labels(organisation, group).inc()
 
     def note_operation(
@@ -89,5 +90,5 @@
         self._operations.labels(organisation, group, outcome).inc()
 
     def render(self) -> bytes:
-        """Return all metrics as text."""
+        """Return all metrics in the text format of Prometheus."""
         return generate_latest(self._registry)
--- a/redwingpost/node/service.py
+++ b/redwingpost/node/service.py
@@ -14,10 +14,10 @@
 from redwingpost.membership.heartbeat import VmAddress
 from redwingpost.membership.readiness import Readiness
 from redwingpost.membership.vm_table import VmTable
-from redwingpost.node.fleet.copies import COPY_PATH, Copies
+from redwingpost.node.fleet.copies import COPY_PATH, CopyPage
 from redwingpost.node.fleet.copy_fetcher import CopyFetcher
 from redwingpost.node.fleet.heartbeat_writer import HeartbeatWriter
-from redwingpost.node.fleet.heartbeats import Heartbeats, Here
+from redwingpost.node.fleet.heartbeats import Heartbeats, LocalVm
 from redwingpost.node.fleet.readiness_inputs import ReadinessView
 from redwingpost.node.fleet.registry import MemberReader, RulesReader
 from redwingpost.node.fleet.relayed_store import RelayedStore
@@ -169,7 +169,7 @@
                 lambda: self.is_stopping,
             ),
         )
-        self._copies = Copies(self._member_watcher.copy)
+        self._copies = CopyPage(self._member_watcher.copy)
         self._copy_fetcher = CopyFetcher(
             self._vms,
             self._admission,
@@ -241,7 +241,7 @@
             store,
             FLEET_TABLE,
             FleetReader(
-                self._vms, self._gathering, lambda: self._heartbeats.greet()
+                self._vms, self._gathering, lambda: self._heartbeats.announce()
             ),
             self._clock,
             self._try_takeovers,
@@ -281,7 +281,7 @@
             self._gathering,
             self._heartbeat_writer,
             self._clock,
-            Here(
+            LocalVm(
                 settings.vm,
                 settings.ip,
                 settings.heartbeat_port,
--- a/redwingpost/node/settings.py
+++ b/redwingpost/node/settings.py
@@ -1,21 +1,22 @@
-"""What a node must know of its place, its platform and its bounds."""
+"""Settings of one VM: its name, its addresses and its time limits."""
 
 from typing import NamedTuple
 
 
 class Endpoint(NamedTuple):
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     ip: str
     port: int
 
 
 class NodeSettings(NamedTuple):
-    """One node's settings; times are seconds.
+    """Settings of one VM; times are seconds.
 
-    ``peer_ips`` are VMs to ask while the store can't be read.
-    ``drain_s`` is how long a member that leaves may still get work,
-    ``grace_s`` how long a stopping node may take.
+    ``peer_ips`` are VMs that get heartbeats while the list of VMs can't
+    be read from the store. ``drain_s`` is for how long a draining member
+    may still be sent statements, ``grace_s`` how long the process may
+    take to stop.
     """
 
     vm: str
--- a/redwingpost/node/steps.py
+++ b/redwingpost/node/steps.py
@@ -1,4 +1,4 @@
-"""Run a step again and again, whatever one of them runs into."""
+"""Run a step periodically, even if one run of it raises."""
 
 from asyncio import sleep
 from collections.abc import Awaitable, Callable
@@ -8,13 +8,13 @@
 
 from redwingpost.observability.journal import log_event
 
-#: Lines of a traceback that go into the log.
+#: Entries of a traceback that are logged, the innermost ones.
 _TRACE_LINES = 4
 
 
-#: Seconds up to which a pause isn't cut short by the service's stop: to
-#: watch for it costs more than the steps of a VM that has nothing to do.
-_SHORT_S = 0.5
+#: Pauses of up to this many seconds aren't interrupted when the service
+#: stops: watching for the stop costs more than the steps of an idle VM.
+_UNINTERRUPTED_PAUSE_S = 0.5
 
 
 async def repeat(
@@ -24,12 +24,12 @@
 ) -> None:
     """Run ``step`` every ``pause_s`` seconds until the service stops.
 
-    ``pause_s`` may be a function that says how long the next pause is.
+    ``pause_s`` may be a function that returns the length of the next pause.
 
-    A step that raises would end its service for good: the node would go
-    on with the configuration, or the members, that it had then, and
-    nothing would show it but old answers. It is logged and the next step
-    runs.
+    If a step raises, the exception is logged and the next step runs.
+    Otherwise the task would end for good: the VM would go on with its
+    last configuration or list of members, and only stale answers would
+    show it.
     """
     while not service.should_stop:
         try:
@@ -41,8 +41,8 @@
                 error="".join(format_exception_only(error)).strip(),
                 trace=format_tb(error.__traceback__)[-_TRACE_LINES:],
             )
-        next_s = pause_s() if callable(pause_s) else pause_s
-        if next_s <= _SHORT_S:
-            await sleep(next_s)
+        next_pause_s = pause_s() if callable(pause_s) else pause_s
+        if next_pause_s <= _UNINTERRUPTED_PAUSE_S:
+            await sleep(next_pause_s)
         else:
-            await service.sleep(next_s)
+            await service.sleep(next_pause_s)
--- a/redwingpost/node/tests/many_vms.py
+++ b/redwingpost/node/tests/many_vms.py
@@ -1,7 +1,7 @@
-"""Hundreds of VMs that tell each other heartbeats, on a clock of their own.
+"""A simulated fleet of hundreds of VMs, with a virtual clock.
 
-Real messages are packed and read; the network between is a queue with a
-delay, which can be cut anywhere.
+The VMs pack and unpack real heartbeats and digests. The network is a queue
+with a delay, which can be cut between any two VMs.
 """
 
 from collections import Counter
@@ -18,21 +18,21 @@
     VmAddress,
 )
 from redwingpost.membership.vm_table import HEARTBEAT_INTERVAL_S, VmTable
-from redwingpost.node.fleet.heartbeats import Heartbeats, Here
+from redwingpost.node.fleet.heartbeats import Heartbeats, LocalVm
 from redwingpost.ports.clock import VirtualClock
 from redwingpost.rates.usage import UsageLedger
 
-#: Seconds from any VM to any other.
+#: Latency of the network in seconds, between any two VMs.
 DELAY_S = 0.0015
 
-#: The only primary that heartbeats tell of.
+#: The only primary that heartbeats report on.
 PRIMARY = "primary"
 
 _PORT = 7
 
 
 class _Writer:
-    """Describes a VM that reaches all primaries."""
+    """Builds heartbeats of a VM that reaches all primaries."""
 
     def __init__(self, vm: str, ip: str, boot: int, clock: VirtualClock):
         self._vm, self._ip, self._boot = vm, ip, boot
@@ -54,30 +54,30 @@
             is_brief,
         )
 
-    def take_samples(self, samples, left_at) -> None:
-        """Leave samples aside."""
+    def take_samples(self, samples, earliest_sent_at) -> None:
+        """Ignore samples."""
 
 
 class _Transport:
-    """One VM's socket."""
+    """Sends the datagrams of one VM."""
 
-    def __init__(self, fleet: "ManyVms", vm: str) -> None:
+    def __init__(self, fleet: "SimulatedFleet", vm: str) -> None:
         self._fleet = fleet
         self._vm = vm
 
     def sendto(self, datagram: bytes, address: tuple[str, int]) -> None:
-        """Put a datagram on its way."""
+        """Send a datagram."""
         self._fleet.send(self._vm, address[0], datagram)
 
     def is_closing(self) -> bool:
-        """Sockets stay open."""
+        """Return False: the transport stays open."""
         return False
 
 
 class SimulatedVm:
-    """One life of a VM."""
+    """A VM, from one start to its end."""
 
-    def __init__(self, fleet: "ManyVms", address: VmAddress, boot: int):
+    def __init__(self, fleet: "SimulatedFleet", address: VmAddress, boot: int):
         now = fleet.clock.now()
         self.address = address
         self.vms = VmTable(address.vm, now)
@@ -90,69 +90,69 @@
             self.gathering,
             self.writer,
             fleet.clock,
-            Here(address.vm, address.ip, _PORT),
+            LocalVm(address.vm, address.ip, _PORT),
             fleet.call_later,
         )
-        self.heartbeats.use(_Transport(fleet, address.vm))
+        self.heartbeats.use_transport(_Transport(fleet, address.vm))
 
     def set_listed(self, addresses: tuple[VmAddress, ...]) -> None:
-        """Take in the list of VMs."""
+        """Apply the list of VMs."""
         self.vms.set_listed(addresses)
         self.gathering.set_listed(addresses)
-        self.heartbeats.greet()
+        self.heartbeats.announce()
 
     def admit(self, rule: OrganisationRule, now: float) -> bool:
-        """Take an operation in if the rate allows it."""
+        """Admit an operation if the rate allows it."""
         if not self.ledger.admit(rule, self.vms.part(now), now):
             return False
         self.heartbeats.report_if_due(rule.name)
         return True
 
 
-class ManyVms:
-    """VMs of several data centres, all started at once.
+class SimulatedFleet:
+    """VMs in several data centres, all started at once.
 
-    ``sent`` and ``received`` count datagrams by VM; ``is_cut`` says of two
-    VMs whether nothing passes from the one to the other. Datagrams of more
-    than ``max_bytes`` are lost.
+    ``sent`` and ``received`` count datagrams by VM. ``is_cut`` returns
+    whether datagrams from the first VM to the second are lost. Datagrams
+    of more than ``max_bytes`` are lost, too.
     """
 
-    def __init__(self, vms: int, centres: int, seed: int = 1) -> None:
+    def __init__(self, vms: int, data_centres: int, seed: int = 1) -> None:
         self.clock = VirtualClock(1000.0)
         self.sent: Counter[str] = Counter()
         self.received: Counter[str] = Counter()
         self.max_bytes = float("inf")
         self.is_cut: Callable[[str, str], bool] = lambda one, other: False
         self._random = Random(seed)
-        self._due: list[tuple[float, int, Callable[[], None]]] = []
+        self._scheduled: list[tuple[float, int, Callable[[], None]]] = []
         self._order = count()
         self._boots = count(1)
         self.addresses = tuple(
-            VmAddress(f"vm-{n}", f"10.0.{n}", _PORT, f"dc-{n % centres}")
+            VmAddress(f"vm-{n}", f"10.0.{n}", _PORT, f"dc-{n % data_centres}")
             for n in range(vms)
         )
-        self._vm_by_ip = {item.ip: item.vm for item in self.addresses}
+        self._name_by_ip = {item.ip: item.vm for item in self.addresses}
         self.vm_by_name: dict[str, SimulatedVm] = {}
         for address in self.addresses:
             self.start(address)
 
     def start(self, address: VmAddress) -> None:
-        """Start a VM, anew if it ran."""
-        life = SimulatedVm(self, address, next(self._boots))
-        self.vm_by_name[address.vm] = life
-        life.set_listed(self.addresses)
+        """Start a VM, or restart it."""
+        instance = SimulatedVm(self, address, next(self._boots))
+        self.vm_by_name[address.vm] = instance
+        instance.set_listed(self.addresses)
         first_s = self._random.uniform(0.0, HEARTBEAT_INTERVAL_S)
-        self.call_later(first_s, lambda: self._beat(life))
+        self.call_later(first_s, lambda: self._beat(instance))
 
     def stop(self, vm: str) -> None:
         """Kill a VM."""
         del self.vm_by_name[vm]
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock and run what is due."""
         until = self.clock.now() + seconds
-        while self._due and self._due[0][0] <= until:
-            at, _, step = heappop(self._due)
+        while self._scheduled and self._scheduled[0][0] <= until:
+            at, _, step = heappop(self._scheduled)
             self.clock.advance(max(0.0, at - self.clock.now()))
             step()
         self.clock.advance(until - self.clock.now())
@@ -160,14 +160,14 @@
     def call_later(self, seconds: float, step: Callable[[], None]) -> None:
         """Call a function after some seconds."""
         at = self.clock.now() + seconds
-        heappush(self._due, (at, next(self._order), step))
+        heappush(self._scheduled, (at, next(self._order), step))
 
     def send(self, vm: str, ip: str, datagram: bytes) -> None:
-        """Bring a datagram to a VM, unless one of the two is gone."""
+        """Deliver a datagram, unless the sender or the reader has stopped."""
         if vm not in self.vm_by_name:
             return
         self.sent[vm] += 1
-        reader = self._vm_by_ip[ip]
+        reader = self._name_by_ip[ip]
         sender = self.vm_by_name[vm].address
         if len(datagram) <= self.max_bytes and not self.is_cut(vm, reader):
             self.call_later(
@@ -175,12 +175,12 @@
             )
 
     def parts(self) -> list[float]:
-        """Return the part of the fleet that each VM hears."""
+        """Return the part of the fleet that is alive for each VM."""
         now = self.clock.now()
         return [vm.vms.part(now) for vm in self.vm_by_name.values()]
 
     def gatherers(self) -> list[str]:
-        """Return the VMs that gather."""
+        """Return the VMs that are gatherers."""
         now = self.clock.now()
         return [
             name
@@ -189,13 +189,13 @@
         ]
 
     def _arrive(self, vm: str, datagram: bytes, ip: str) -> None:
-        life = self.vm_by_name.get(vm)
-        if life is not None:
+        instance = self.vm_by_name.get(vm)
+        if instance is not None:
             self.received[vm] += 1
-            life.heartbeats.take_in(datagram, ip)
+            instance.heartbeats.receive(datagram, ip)
 
-    def _beat(self, life: SimulatedVm) -> None:
-        if self.vm_by_name.get(life.address.vm) is not life:
+    def _beat(self, instance: SimulatedVm) -> None:
+        if self.vm_by_name.get(instance.address.vm) is not instance:
             return
-        life.heartbeats.beat()
-        self.call_later(HEARTBEAT_INTERVAL_S, lambda: self._beat(life))
+        instance.heartbeats.beat()
+        self.call_later(HEARTBEAT_INTERVAL_S, lambda: self._beat(instance))
--- a/redwingpost/node/tests/test_copy_fetcher.py
+++ b/redwingpost/node/tests/test_copy_fetcher.py
@@ -1,4 +1,4 @@
-"""When a VM fetches the configuration from one that has a newer one."""
+"""When a VM fetches a newer configuration from another VM."""
 
 from asyncio import Event, sleep, wait_for
 from random import Random
@@ -9,11 +9,11 @@
 from redwingpost.bench.ports import find_free_port
 from redwingpost.membership.heartbeat import Heartbeat
 from redwingpost.membership.vm_table import VmTable
-from redwingpost.node.fleet.copies import COPY_PATH, Copies
+from redwingpost.node.fleet.copies import COPY_PATH, CopyPage
 from redwingpost.node.fleet.copy_fetcher import (
-    COPY_AFTER_S,
-    COPY_ANYWAY_S,
-    SPREAD_S,
+    FETCH_AFTER_LOSS_S,
+    FETCH_AFTER_S,
+    FETCH_JITTER_S,
     CopyFetcher,
 )
 from redwingpost.node.fleet.table_copy import TableCopy
@@ -23,24 +23,24 @@
 
 _IP = "127.0.74.1"
 
-#: Seconds for what comes about at once; never waited for.
-_PATIENCE_S = 10.0
+#: Timeout (seconds) for events that are expected at once.
+_TIMEOUT_S = 10.0
 
 
 class CopyFetcherTest(IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.clock = VirtualClock()
         self.members = TableCopy()
-        self.copies = Copies(self.members)
+        self.copies = CopyPage(self.members)
         self.copies.configuration = Row("op", "config", 2, {"version": 2})
         self.may_answer = Event()
         self.may_answer.set()
-        self.asked = 0
-        self.taken: list[Row] = []
-        self.has_taken = Event()
+        self.request_count = 0
+        self.applied: list[Row] = []
+        self.has_applied = Event()
         self.is_source_lost = False
         self.has_members = True
-        self.taken_members: list[Row] = []
+        self.applied_members: list[Row] = []
         port = find_free_port(_IP)
         pages = PageServer(_IP, port, {}, {COPY_PATH: self._page})
         await pages.start()
@@ -50,8 +50,8 @@
         self.fetcher = CopyFetcher(
             self.vms,
             SimpleNamespace(rules=SimpleNamespace(version=1)),
-            SimpleNamespace(take=self._take),
-            SimpleNamespace(on_rows=self._take_members),
+            SimpleNamespace(apply_if_newer=self._apply),
+            SimpleNamespace(on_rows=self._apply_members),
             lambda: self.has_members,
             lambda: self.is_source_lost,
             port,
@@ -60,68 +60,68 @@
         )
 
     async def _page(self, query: str) -> Page:
-        self.asked += 1
+        self.request_count += 1
         await self.may_answer.wait()
         return self.copies.page()
 
-    def _take(self, row: Row) -> None:
-        self.taken.append(row)
-        self.has_taken.set()
+    def _apply(self, row: Row) -> None:
+        self.applied.append(row)
+        self.has_applied.set()
 
-    def _take_members(self, rows: tuple[Row, ...]) -> None:
-        self.taken_members.extend(rows)
+    def _apply_members(self, rows: tuple[Row, ...]) -> None:
+        self.applied_members.extend(rows)
 
-    def _look(self, after_s: float, version: int = 2) -> None:
-        """Look again after some seconds, with another VM in hearing."""
+    def _check_after(self, after_s: float, version: int = 2) -> None:
+        """Check again after some seconds, with another VM alive."""
         self.clock.advance(after_s)
         heartbeat = Heartbeat("vm-2", 1, _IP, version, {}, 1, None, ())
         self.vms.note(heartbeat, self.clock.now())
         self.fetcher.fetch_if_behind()
 
     async def test_when_it_fetches(self) -> None:
-        """Guards against all VMs asking the one that had it first."""
+        """Guards against all VMs fetching from the one that had it first."""
         cases = (
-            ("its own source has failed", True, COPY_AFTER_S),
-            ("its own source may still deliver", False, COPY_ANYWAY_S),
+            ("its own source has failed", True, FETCH_AFTER_LOSS_S),
+            ("its own source may still deliver", False, FETCH_AFTER_S),
         )
         for name, is_source_lost, after_s in cases:
             with self.subTest(name):
                 await self.asyncSetUp()
                 self.is_source_lost = is_source_lost
-                self._look(0.1)
-                self._look(after_s - 0.01)
+                self._check_after(0.1)
+                self._check_after(after_s - 0.01)
                 await sleep(0.05)
-                self.assertEqual(0, self.asked)
-                self._look(SPREAD_S + 0.01)
-                await wait_for(self.has_taken.wait(), _PATIENCE_S)
-                self.assertEqual([self.copies.configuration], self.taken)
+                self.assertEqual(0, self.request_count)
+                self._check_after(FETCH_JITTER_S + 0.01)
+                await wait_for(self.has_applied.wait(), _TIMEOUT_S)
+                self.assertEqual([self.copies.configuration], self.applied)
 
     async def test_nothing_newer_is_left_alone(self) -> None:
-        self._look(0.1, version=1)
-        self._look(COPY_ANYWAY_S + SPREAD_S, version=1)
+        self._check_after(0.1, version=1)
+        self._check_after(FETCH_AFTER_S + FETCH_JITTER_S, version=1)
         await sleep(0.05)
-        self.assertEqual(0, self.asked)
+        self.assertEqual(0, self.request_count)
 
     async def test_a_slow_copy_is_not_asked_for_again(self) -> None:
-        """Guards against a link filled by copies given up half way."""
+        """Guards against a link saturated by copies that time out."""
         self.may_answer.clear()
-        self._look(0.1)
+        self._check_after(0.1)
         for _ in range(3):
-            self._look(COPY_ANYWAY_S + SPREAD_S)
+            self._check_after(FETCH_AFTER_S + FETCH_JITTER_S)
             await sleep(0.05)
-        self.assertEqual(1, self.asked)
+        self.assertEqual(1, self.request_count)
         self.may_answer.set()
-        await wait_for(self.has_taken.wait(), _PATIENCE_S)
+        await wait_for(self.has_applied.wait(), _TIMEOUT_S)
 
     async def test_members_come_along_where_none_are_known(self) -> None:
-        """Guards against a VM that starts without store and serves nobody."""
+        """Guards against a VM that starts without the store and members."""
         stays, goes, comes = (Row("m", key, 5, {}) for key in "abc")
         self.members.note_snapshot(Snapshot((stays, goes), 5, 0))
         changes = (RowChange(goes, True), RowChange(comes, False))
         self.members.note_changes(Changes(changes, 6))
         self.has_members = False
-        self._look(0.1)
-        self._look(COPY_ANYWAY_S + SPREAD_S)
-        await wait_for(self.has_taken.wait(), _PATIENCE_S)
+        self._check_after(0.1)
+        self._check_after(FETCH_AFTER_S + FETCH_JITTER_S)
+        await wait_for(self.has_applied.wait(), _TIMEOUT_S)
         await sleep(0.05)
-        self.assertEqual([stays, comes], self.taken_members)
+        self.assertEqual([stays, comes], self.applied_members)
--- a/redwingpost/node/tests/test_heartbeats.py
+++ b/redwingpost/node/tests/test_heartbeats.py
@@ -7,14 +7,15 @@
 from redwingpost.membership.gathering import Gathering
 from redwingpost.membership.heartbeat import Heartbeat, VmAddress
 from redwingpost.membership.vm_table import VmTable
-from redwingpost.node.fleet.heartbeats import Heartbeats, Here
+from redwingpost.node.fleet.heartbeats import Heartbeats, LocalVm
 from redwingpost.ports.clock import MonotonicClock
 from redwingpost.rates.usage import UsageLedger
 
 _IPS = ("127.0.71.1", "127.0.71.2")
 
-#: Seconds for a datagram on loopback, far above what it takes.
-PATIENCE_S = 10.0
+#: Seconds to wait for datagrams on the loopback interface, which take far
+#: less.
+TIMEOUT_S = 10.0
 
 
 def _free_port() -> int:
@@ -24,7 +25,7 @@
 
 
 class FakeWriter:
-    """Always says the same."""
+    """Builds the same heartbeat each time."""
 
     def __init__(self, heartbeat: Heartbeat) -> None:
         self._heartbeat = heartbeat
@@ -33,38 +34,39 @@
         """Return the heartbeat."""
         return self._heartbeat
 
-    def take_samples(self, samples, left_at) -> None:
-        """Leave samples aside."""
+    def take_samples(self, samples, earliest_sent_at) -> None:
+        """Ignore samples."""
 
 
-class QuietHeartbeats(Heartbeats):
-    """Sends what is asked for, and no heartbeat by itself."""
+class SilentHeartbeats(Heartbeats):
+    """Sends no periodic heartbeats."""
 
     async def _send_beat(self) -> None:
         await sleep(0.0)
 
 
-class GreetingTest(IsolatedAsyncioTestCase):
+class AnnounceTest(IsolatedAsyncioTestCase):
     def _make(self, number: int, port: int) -> tuple[VmTable, Heartbeats]:
         clock = MonotonicClock()
         vm, ip = f"vm-{number}", _IPS[number]
         vms = VmTable(vm, clock.now())
         gathering = Gathering(vm)
-        heartbeats = QuietHeartbeats(
+        heartbeats = SilentHeartbeats(
             vms,
             UsageLedger(clock.now()),
             gathering,
             FakeWriter(Heartbeat(vm, 1, ip, 1, {}, 1, None, ())),
             clock,
-            Here(vm, ip, port),
+            LocalVm(vm, ip, port),
         )
         return vms, heartbeats
 
     async def test_vms_that_start_hear_each_other_at_once(self) -> None:
-        """A fleet starts again, and a VM reads the list of the others.
+        """A fleet restarts, and a VM reads the list of VMs.
 
-        Until it hears them it may use a small part of each rate only.
-        Between two heartbeats callers within their rates are refused.
+        Until it has heartbeats from the others it may use only a small
+        part of each rate. If it waited for the next heartbeat, callers
+        within their rates would be refused.
         """
         port = _free_port()
         tables = []
@@ -73,10 +75,10 @@
             await heartbeats.start()
             self.addAsyncCleanup(heartbeats.stop)
             tables.append((vms, heartbeats))
-        first, greeter = tables[0]
+        first, announcer = tables[0]
         first.set_listed((VmAddress("vm-1", _IPS[1], port),))
-        greeter.greet()
-        await wait_for(self._until_heard(tables), PATIENCE_S)
+        announcer.announce()
+        await wait_for(self._until_heard(tables), TIMEOUT_S)
 
     async def _until_heard(self, tables) -> None:
         now = MonotonicClock().now
--- a/redwingpost/node/tests/test_calm_day.py
+++ b/redwingpost/node/tests/test_normal_operation.py
@@ -1,4 +1,4 @@
-"""Nodes as processes against the stand-ins, with nothing going wrong."""
+"""Normal operation of real processes against the simulated platform."""
 
 from asyncio import gather
 from signal import SIGTERM
@@ -8,7 +8,7 @@
 from redwingpost.node.tests.line_site import NodeSite, configuration, until
 
 
-class CalmDayTest(IsolatedAsyncioTestCase):
+class NormalOperationTest(IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.site = NodeSite()
         self.addAsyncCleanup(self.site.stop)
@@ -44,16 +44,16 @@
         )
         for text, rows, code, state in cases:
             with self.subTest(text):
-                told = await caller.run(text)
-                self.assertEqual((rows, code, state), told[:3])
+                answer = await caller.run(text)
+                self.assertEqual((rows, code, state), answer[:3])
 
     async def test_another_session_reads_what_was_acknowledged(self) -> None:
         writer = await self.node.caller("strict")
         reader = await self.site.nodes[1].caller("strict")
         for number in range(10):
             await writer.run(f"WRITE b {number}")
-            told = await reader.run("READ b")
-            self.assertEqual((str(number),), told.rows)
+            answer = await reader.run("READ b")
+            self.assertEqual((str(number),), answer.rows)
 
     async def test_replicas_serve_reads_of_a_stated_age(self) -> None:
         writer = await self.node.caller("own")
@@ -119,8 +119,8 @@
         callers = [await self.node.caller("own") for _ in range(3)]
 
         async def counts_all() -> bool:
-            told = f"redwing_sessions {float(len(callers))}"
-            return told in await self.node.metrics()
+            line = f"redwing_sessions {float(len(callers))}"
+            return line in await self.node.metrics()
 
         await until(counts_all, "all sessions in the metrics")
 
@@ -130,8 +130,8 @@
         await caller.run("WRITE g 1")
         self.node.process.send_signal(SIGTERM)
         await until(self._is_unready)
-        told = await caller.run("COMMIT")
-        self.assertEqual(("", "I"), (told.code, told.state))
+        answer = await caller.run("COMMIT")
+        self.assertEqual(("", "I"), (answer.code, answer.state))
         self.assertEqual(0, await self.node.end())
         errors = (await self.node.process.stderr.read()).decode()
         self.assertEqual("", errors)
--- a/redwingpost/node/tests/test_quota.py
+++ b/redwingpost/node/tests/test_quota.py
@@ -1,4 +1,4 @@
-"""What of a caller's operations counts against the organisation's rate."""
+"""Which operations of a caller count against the organisation's rate."""
 
 from types import SimpleNamespace
 from unittest import IsolatedAsyncioTestCase
@@ -27,11 +27,11 @@
 from redwingpost.ports.database import MemberEntry, Reply, StatusReport
 from redwingpost.rates.usage import UsageLedger
 
-#: Seconds of the window in which operations are counted.
+#: Length of the window in which operations are counted (seconds).
 WINDOW_S = 5.0
 
-#: Seconds between two operations of callers who are refused.
-AGAIN_S = 0.02
+#: Seconds between two attempts of a caller that is refused.
+RETRY_S = 0.02
 
 _PARISH = OrganisationRule("parish", frozenset({"key"}), 4.0, 4.0, 1)
 
@@ -50,7 +50,7 @@
 
 
 class PausedReplicas:
-    """Opens links to a primary that answers and to paused replicas."""
+    """Opens links to a working primary and to paused replicas."""
 
     def __init__(self) -> None:
         self.run_requests: list[str] = []
@@ -77,7 +77,7 @@
 
 
 class QuotaTest(IsolatedAsyncioTestCase):
-    """One VM and a group of three whose replicas prove nothing."""
+    """One VM and a group of three members whose replicas are paused."""
 
     async def asyncSetUp(self) -> None:
         self.clock = VirtualClock()
@@ -113,7 +113,7 @@
         )
 
     async def _read_for(self, seconds: float) -> None:
-        """Let callers who are refused come back at once, for a while."""
+        """Read repeatedly, as callers do that retry soon when refused."""
         session = NodeSession(self.services, "strict", "key")
         until = self.clock.now() + seconds
         number = 0
@@ -121,19 +121,19 @@
             number += 1
             read = Statement(str(number), StatementKind.READ, "READ a")
             await session.run(read)
-            self.clock.advance(AGAIN_S)
+            self.clock.advance(RETRY_S)
 
     async def test_a_read_that_a_member_ran_counts_though_refused(
         self,
     ) -> None:
-        """Guards against tokens given back for what members have run."""
+        """Guards against tokens refunded for operations that members ran."""
         await self._read_for(WINDOW_S)
         ran = set(self.members.run_requests)
         granted = _PARISH.rate * WINDOW_S + _PARISH.burst
         self.assertLessEqual(len(ran), granted)
 
-    async def test_what_no_replica_can_vouch_for_isn_t_sent(self) -> None:
-        """Guards against members busy with reads that nothing can prove."""
+    async def test_what_no_replica_can_prove_isn_t_sent(self) -> None:
+        """Guards against members loaded with reads that can't be confirmed."""
         for member in ("m2", "m3"):
             entry = MemberEntry(member, "g", "ip", 1, "a", False, False, 9)
             self.directory.put(entry, self.clock.now())
@@ -144,14 +144,14 @@
             with self.subTest(kind):
                 self.clock.advance(1.0)
                 statement = Statement(str(number), kind, "READ a")
-                told = await session.run(statement)
-                self.assertIs(Outcome.NOT_RUN, told.code.outcome)
+                answer = await session.run(statement)
+                self.assertIs(Outcome.NOT_RUN, answer.code.outcome)
                 left_s = FRESH_START_S - self.clock.now()
-                self.assertAlmostEqual(left_s * 1000, told.retry_after_ms)
+                self.assertAlmostEqual(left_s * 1000, answer.retry_after_ms)
         self.assertEqual([], self.members.run_requests)
 
     async def test_what_reached_no_member_doesn_t_count(self) -> None:
-        """Guards against callers over their rate once a primary is back."""
+        """Guards against over-rate refusals once a primary is back."""
         self.clock.advance(1.0)
         self.group.member_by_name["m1"].failed_at = self.clock.now()
         await self._read_for(WINDOW_S)
--- a/redwingpost/node/tests/test_relayed_store.py
+++ b/redwingpost/node/tests/test_relayed_store.py
@@ -1,4 +1,4 @@
-"""Tables followed at a neighbour, which dies or loses the store."""
+"""Following tables through a gatherer that fails or loses the store."""
 
 from asyncio import create_task, gather, sleep, wait_for
 from unittest import IsolatedAsyncioTestCase
@@ -18,8 +18,8 @@
 
 _IPS = ("127.0.73.1", "127.0.73.2")
 
-#: Seconds for what comes about at once; never waited for.
-_PATIENCE_S = 10.0
+#: Timeout (seconds) for events that are expected at once.
+_TIMEOUT_S = 10.0
 
 
 def _change(version: int) -> RowChange:
@@ -27,29 +27,29 @@
 
 
 class FakeGathering:
-    """Names the neighbours to follow, and who this VM is."""
+    """Selects fixed gatherers, and says whether this VM gathers."""
 
     has_list = True
     is_new = False
     is_direct = False
 
     def __init__(self, vms: int) -> None:
-        self.relays = tuple(
+        self.followed = tuple(
             VmAddress(f"vm-{n}", ip, 1, "a") for n, ip in enumerate(_IPS[:vms])
         )
         self.is_gatherer = False
 
     def gathers(self, now: float) -> bool:
-        """Say whether this VM asks the store itself."""
+        """Return whether this VM reads from the store itself."""
         return self.is_gatherer
 
     def gatherers(self, now: float) -> tuple[VmAddress, ...]:
-        """Return whom to follow."""
-        return self.relays
+        """Return the gatherers to follow."""
+        return self.followed
 
 
 class CountingStore:
-    """Counts what it is asked."""
+    """Counts its calls."""
 
     def __init__(self) -> None:
         self.calls = 0
@@ -62,7 +62,7 @@
         return Ok(Changes((_change(after + 1),), after + 1))
 
 
-class RelayTest(IsolatedAsyncioTestCase):
+class RelayedStoreTest(IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.port = find_free_port(_IPS[0])
         self.lost: set[str] = set()
@@ -89,56 +89,56 @@
         )
 
     async def _next(self, wait_s: float = 5.0) -> Changes:
-        got = await wait_for(self.relayed.changes("t", 5, wait_s), _PATIENCE_S)
+        got = await wait_for(self.relayed.changes("t", 5, wait_s), _TIMEOUT_S)
         return got.ok
 
-    async def test_news_come_from_a_neighbour(self) -> None:
-        asking = create_task(self._next())
+    async def test_changes_come_from_a_gatherer(self) -> None:
+        pending = create_task(self._next())
         await sleep(0.05)
         self.copies[0].note_changes(Changes((_change(6),), 6))
-        changes = await asking
+        changes = await pending
         self.assertEqual(6, changes.version)
         self.assertEqual((_change(6),), changes.changes)
         self.assertEqual(0, self.store.calls)
 
-    async def test_a_neighbour_that_must_be_left(self) -> None:
-        """The gatherer that this VM follows dies, or has lost the store.
+    async def test_a_gatherer_that_must_be_left(self) -> None:
+        """The gatherer that this VM follows fails or has lost the store.
 
-        A configuration must be in force within seconds all the same, so
-        the VM turns to the second gatherer, and then to the store.
+        A configuration must still be in force within seconds, so the VM
+        changes over to the second gatherer, and then to the store.
         """
-        first, second = self.gathering.relays
+        first, second = self.gathering.followed
         cases = (
             ("another gatherer is first", (second,), set(), 0),
-            ("nobody gathers", (), set(), 1),
+            ("there is no gatherer", (), set(), 1),
             ("it has lost the store", (first, second), {first.ip}, 0),
             ("both have", (first, second), {first.ip, second.ip}, 1),
         )
-        for name, relays, lost, calls in cases:
+        for name, followed, lost, calls in cases:
             with self.subTest(name):
-                self.gathering.relays = (first, second)
+                self.gathering.followed = (first, second)
                 self.lost = set()
                 self.relayed = self._relayed()
                 before = self.store.calls
-                asking = create_task(self._next())
+                pending = create_task(self._next())
                 await sleep(0.05)
-                self.gathering.relays = relays
+                self.gathering.followed = followed
                 self.lost = lost
                 if lost:
-                    # Its copy stops waiting as the next wait ends.
-                    asking.cancel()
-                    await gather(asking, return_exceptions=True)
-                    asking = create_task(self._next())
+                    # A request that already waits is refused at its end.
+                    pending.cancel()
+                    await gather(pending, return_exceptions=True)
+                    pending = create_task(self._next())
                 await sleep(0.3)
                 self.copies[1].note_changes(Changes((_change(6),), 6))
-                await asking
+                await pending
                 self.assertEqual(calls, self.store.calls - before)
                 self.copies[1].note_snapshot(Snapshot((), 5, 0))
 
     async def test_a_store_that_is_down_is_left_alone(self) -> None:
-        """The store is down, and both gatherers say so.
+        """The store is down, and both gatherers report it.
 
-        Two hundred VMs that ask it again and again pay for each call.
+        Repeated requests of 200 VMs would each cost a call.
         """
         self.lost = set(_IPS)
         await self._next()
@@ -152,7 +152,7 @@
         self.assertEqual(1, self.store.calls)
 
 
-class CopyTest(IsolatedAsyncioTestCase):
+class TableCopyTest(IsolatedAsyncioTestCase):
     async def test_what_a_reader_gets(self) -> None:
         copy = TableCopy()
         copy.note_snapshot(Snapshot((), 5, 0))
--- a/redwingpost/node/tests/test_watcher.py
+++ b/redwingpost/node/tests/test_watcher.py
@@ -1,4 +1,4 @@
-"""Following a table through what the store does wrong."""
+"""Following a table across failures of the store."""
 
 from asyncio import get_running_loop, sleep
 from unittest import IsolatedAsyncioTestCase
@@ -12,7 +12,7 @@
 from redwingpost.ports.fleet_store import Changes, RowChange, Snapshot
 from redwingpost.ports.platform import Row
 
-_AWAY = Error(Refusal(Code.STORE_UNAVAILABLE))
+_UNAVAILABLE = Error(Refusal(Code.STORE_UNAVAILABLE))
 
 
 def _row(key: str) -> Row:
@@ -20,17 +20,17 @@
 
 
 class ScriptedStore:
-    """Answers from a script, then not at all."""
+    """Returns given answers, and then errors."""
 
     def __init__(self, snapshots: list, changes: list) -> None:
         self._snapshots = snapshots
         self._changes = changes
 
     async def snapshot(self, table: str):
-        return self._snapshots.pop(0) if self._snapshots else _AWAY
+        return self._snapshots.pop(0) if self._snapshots else _UNAVAILABLE
 
     async def changes(self, table: str, after: int, wait_s: float):
-        return self._changes.pop(0) if self._changes else _AWAY
+        return self._changes.pop(0) if self._changes else _UNAVAILABLE
 
 
 class KeyReader:
@@ -50,7 +50,7 @@
 
 
 class WatcherTest(IsolatedAsyncioTestCase):
-    async def _play(self, snapshots: list, changes: list) -> set[str]:
+    async def _follow(self, snapshots: list, changes: list) -> set[str]:
         reader = KeyReader()
         store = ScriptedStore(snapshots, changes)
         watcher = TableWatcher(store, "t", reader, VirtualClock())
@@ -58,10 +58,11 @@
         return reader.keys
 
     async def test_a_member_that_was_removed_and_came_back(self) -> None:
-        """A member's entry lapses and is back before the VM reads on.
+        """A member's entry lapses and returns within one batch of changes.
 
-        Taken out of order, the removal wins: the VM sends nothing to a
-        member that runs, and replaces it if it was the primary.
+        If the changes were applied out of order, the removal would win:
+        the VM would send nothing to a running member, and would replace it
+        if it was the primary.
         """
         put, removed = False, True
         cases = (
@@ -72,14 +73,14 @@
         for name, order, expected in cases:
             with self.subTest(name):
                 changes = tuple(RowChange(_row("m"), item) for item in order)
-                keys = await self._play(
+                keys = await self._follow(
                     [Ok(Snapshot((_row("m"),), 1, 0))],
                     [Ok(Changes(changes, 2))],
                 )
                 self.assertEqual(expected, keys)
 
     async def test_a_lost_history_is_read_anew(self) -> None:
-        keys = await self._play(
+        keys = await self._follow(
             [
                 Ok(Snapshot((_row("old"),), 1, 0)),
                 Ok(Snapshot((_row("new"),), 9, 0)),
@@ -91,11 +92,12 @@
 
 class RegainedTest(IsolatedAsyncioTestCase):
     async def test_who_waits_for_the_store_hears_of_its_return(self) -> None:
-        """The store is away, and answers for one table first.
+        """The store was unavailable, and answers for one table first.
 
-        A takeover that waits for its next try would let writers wait on.
+        If a pending takeover weren't notified, it would wait for its next
+        attempt, and writers with it.
         """
-        store = ScriptedStore([_AWAY, Ok(Snapshot((), 1, 0))], [])
+        store = ScriptedStore([_UNAVAILABLE, Ok(Snapshot((), 1, 0))], [])
         regained = []
         watcher = TableWatcher(
             store,
@@ -110,13 +112,13 @@
         self.assertEqual([True], regained)
 
 
-class CountedStore:
-    """A table that changes by itself; counts the calls."""
+class CountingStore:
+    """A store whose table changes periodically; counts the calls."""
 
     def __init__(self, gap_s: float, changes: int) -> None:
         self._gap_s = gap_s
         self._last = changes
-        self._began_at = get_running_loop().time()
+        self._started_at = get_running_loop().time()
         self.calls = 0
 
     async def snapshot(self, table: str):
@@ -125,10 +127,10 @@
     async def changes(self, table: str, after: int, wait_s: float):
         self.calls += 1
         if after >= self._last:
-            return _AWAY
-        due_at = self._began_at + (after + 1) * self._gap_s
+            return _UNAVAILABLE
+        due_at = self._started_at + (after + 1) * self._gap_s
         await sleep(max(0.0, due_at - get_running_loop().time()))
-        passed_s = get_running_loop().time() - self._began_at
+        passed_s = get_running_loop().time() - self._started_at
         newest = min(self._last, max(after + 1, int(passed_s / self._gap_s)))
         numbers = range(after + 1, newest + 1)
         rows = tuple(RowChange(_row(str(item)), False) for item in numbers)
@@ -139,11 +141,12 @@
     async def test_a_series_of_changes_is_fetched_together(self) -> None:
         """An operator sends 25 configurations, 20 ms apart.
 
-        Fetched one by one, they are 25 calls of each VM to a store that
-        takes 2,000 a second from all: 26 calls, 6 or fewer so.
+        Read one by one, they are 25 calls by each VM to a store that
+        accepts 2,000 a second from all VMs: 26 calls, instead of at most 6
+        if they are read together.
         """
         reader = KeyReader()
-        store = CountedStore(gap_s=0.02, changes=25)
+        store = CountingStore(gap_s=0.02, changes=25)
         watcher = TableWatcher(store, "t", reader, MonotonicClock())
         await watcher._follow_while_answered()
         self.assertEqual({str(item) for item in range(1, 26)}, reader.keys)
