--- a/redwingpost/node/fleet/heartbeat_writer.py
+++ b/redwingpost/node/fleet/heartbeat_writer.py
@@ -77,7 +77,7 @@
                 health_by_primary[leader.entry.member] = PrimaryHealth(
                     _to_ms(leader.silent_s),
                     _to_ms(group.writes.stuck_s(now)),
-                    _to_ms(group.writes.kept_s(now)),
+                    _to_ms(group.writes.since_acknowledged_s(now)),
                     _to_ms(leader.failing_s),
                 )
         return health_by_primary
--- a/redwingpost/node/group.py
+++ b/redwingpost/node/group.py
@@ -33,7 +33,7 @@
 from redwingpost.pools.pool import IDLE_S
 from redwingpost.ports.clock import Clock
 from redwingpost.ports.database import LinkFactory, MemberEntry
-from redwingpost.takeover.stall import StallWatch
+from redwingpost.takeover.stall import StallDetector
 from redwingpost.takeover.write_watch import WriteWatch
 
 #: Seconds between rounds of status questions to all members. Statements
@@ -100,7 +100,7 @@
         self._centres = centres
         self._homes = homes
         self._used_at = float("-inf")
-        self._stall = StallWatch()
+        self._stall = StallDetector()
         self._round: Task | None = None
         self.proofs = LeadProofs(
             self.member_by_name,
@@ -299,14 +299,14 @@
     def note_refused_as_replica(self, client: MemberClient) -> None:
         """Note that a member refused a write as no primary."""
         self.evidence.disavow(client.entry.member)
-        self.writes.forget_stuck()
+        self.writes.clear_stuck()
         self._settle()
 
     def note_commit(
         self, client: MemberClient, position: Position, sent_at: float
     ) -> None:
         """Note an acknowledged commit."""
-        self.writes.note_kept(self._clock.now())
+        self.writes.note_acknowledged(self._clock.now())
         member = client.entry.member
         self.evidence.note_commit(member, position, sent_at)
 
@@ -385,7 +385,7 @@
         ]
         head = heard.report.received
         now = self._clock.now()
-        self.stalled_s = self._stall.note(head, replicas, now)
+        self.stalled_s = self._stall.observe(head, replicas, now)
 
     def _note_pauses(self) -> None:
         is_paused = any(
--- a/redwingpost/node/takeover/conductor.py
+++ b/redwingpost/node/takeover/conductor.py
@@ -21,7 +21,7 @@
 from redwingpost.takeover.plan import (
     Survey,
     candidates,
-    choose,
+    choose_replica,
     is_worth_stopping,
     may_promote,
     pause_term,
@@ -29,8 +29,8 @@
 from redwingpost.takeover.roster import Roster
 from redwingpost.takeover.status import (
     MemberStatus,
-    brief,
-    leading,
+    current_primary,
+    describe_status,
     newest_term,
 )
 from redwingpost.takeover.triggers import Reason
@@ -108,14 +108,14 @@
     async def run(self, reason: Reason) -> str:
         """Replace the primary; return the outcome for the log."""
         statuses = await self._ask_all(self.clients, "status")
-        leader = leading(statuses, self._group.evidence.term)
+        leader = current_primary(statuses, self._group.evidence.term)
         if await self._depose_stale(statuses, leader):
             statuses = await self._ask_all(self.clients, "status")
         if reason is Reason.LEFT_PAUSED and leader is not None:
             await self._resume(statuses)
             return "resumed"
         old = leader or self._group.evidence.leader
-        if choose(statuses, old) is None:
+        if choose_replica(statuses, old) is None:
             return "no replica answers"
         term = pause_term(statuses)
         if leader is None:
@@ -252,7 +252,7 @@
         The chosen one goes on receiving until then, so that the primary
         serves for as long as possible.
         """
-        chosen = choose(statuses, leader).chosen.entry
+        chosen = choose_replica(statuses, leader).chosen.entry
         paused = self._but([leader, chosen.member])
         await self._ask_all(paused, "pause", term)
         if not await self._catches_up(chosen, leader, term):
@@ -265,7 +265,7 @@
             group=self._group.name,
             member=leader,
             reason=reason.value,
-            answers=[brief(item) for item in stopped],
+            answers=[describe_status(item) for item in stopped],
         )
         if not stopped or stopped[0].is_silent:
             return await self._pause_all(leader, term)
@@ -425,6 +425,6 @@
         log_event(
             "takeover-unsafe",
             group=self._group.name,
-            members=[brief(item) for item in statuses],
+            members=[describe_status(item) for item in statuses],
             floor=str(self._group.evidence.floor),
         )
--- a/redwingpost/node/takeover/keeper.py
+++ b/redwingpost/node/takeover/keeper.py
@@ -16,7 +16,7 @@
 from redwingpost.observability.journal import log_event
 from redwingpost.takeover.roster import Roster
 from redwingpost.takeover.triggers import (
-    TURN_S,
+    TAKEOVER_STAGGER_S,
     Reason,
     reason_to_act,
 )
@@ -72,7 +72,7 @@
             self._due_by_group.pop(group.name, None)
             return
         if known is None or known[0] is not reason:
-            delay = group.place(now) * TURN_S
+            delay = group.place(now) * TAKEOVER_STAGGER_S
             self._due_by_group[group.name] = (reason, now + delay)
             log_event("takeover-due", group=group.name, reason=reason.value)
         elif now >= known[1]:
--- a/redwingpost/node/takeover/leader_view.py
+++ b/redwingpost/node/takeover/leader_view.py
@@ -7,7 +7,7 @@
 from redwingpost.membership.heartbeat import MergedHealth
 from redwingpost.node.group import GroupClient
 from redwingpost.node.member import MemberClient
-from redwingpost.takeover.triggers import LeaderView, stuck_at_all_s
+from redwingpost.takeover.triggers import LeaderView, stuck_everywhere_s
 
 
 class LeaderViews:
@@ -59,11 +59,13 @@
             others_failing_s=_failing_s(reports),
             hears_half=self._vms.hears_half(now),
             stalled_s=group.stalled_s,
-            stuck_s=stuck_at_all_s(
-                group.writes.stuck_s(now), group.writes.kept_s(now), reports
+            stuck_s=stuck_everywhere_s(
+                group.writes.stuck_s(now),
+                group.writes.since_acknowledged_s(now),
+                reports,
             ),
             leaderless_s=_since(group.leaderless_since, now),
-            is_off_list=self._is_off_list(group),
+            registry_has_no_primary=self._is_off_list(group),
             replicas_answering=_answering(group, leader),
             paused_s=_since(group.paused_since, now),
             centre_lost_s=self._centre_lost_s(client),
--- a/redwingpost/node/takeover/rosters.py
+++ b/redwingpost/node/takeover/rosters.py
@@ -15,7 +15,12 @@
 from redwingpost.ports.clock import Clock
 from redwingpost.ports.fleet_store import FleetStore
 from redwingpost.ports.platform import Condition, Row, Write
-from redwingpost.takeover.roster import Absence, Roster, do_all_hold, is_gone
+from redwingpost.takeover.roster import (
+    Absence,
+    Roster,
+    is_gone,
+    is_held_by_all,
+)
 
 ROSTER_PREFIX = "roster/"
 
@@ -197,7 +202,7 @@
         await group.fresh_round()
         heard = [group.evidence.heard(name) for name in group.member_by_name]
         reports = tuple(item.report if item else None for item in heard)
-        if not do_all_hold(pending.position, reports):
+        if not is_held_by_all(pending.position, reports):
             return False
         del self._pending_by_group[group.name]
         return True
--- a/redwingpost/takeover/__init__.py
+++ b/redwingpost/takeover/__init__.py
@@ -1,1 +1,1 @@
-"""Replacing a group's primary through the members' own commands."""
+"""Replacement of a group's primary with the members' own commands."""
--- a/redwingpost/takeover/plan.py
+++ b/redwingpost/takeover/plan.py
@@ -1,26 +1,28 @@
-"""The order of a takeover: whom to stop, whom to choose, when it is safe.
+"""Which replica to promote in a takeover, and when the promotion is safe.
 
-A commit is acknowledged once a replica has received it. Two things must
-hold. The chosen log must have all that was acknowledged; and from the
-moment the promotion is ordered, the old primary must not be able to
-acknowledge anything more, although it may not know yet.
+A primary acknowledges a commit once a replica has received it. A promotion
+is safe under two conditions: the chosen replica's log holds every
+acknowledged commit, and from the moment of the promotion order the old
+primary can't acknowledge another, although it may not know of the order yet.
 
 An old primary that answers is stopped first. From then on it acknowledges
-nothing, and its own log has everything it ever did: a replica that holds
-that log may lead, whoever else is silent. One that is behind may lead only
-if every other member answered after the stop and none is ahead.
-
-An old primary that is silent may live, behind a cut. Then nobody else may
-be silent, and all that answer are paused: each commit that it ever
-acknowledged is in the log of one of them, and none confirms another.
-
-Silent members count as long as their logs may matter: also those that the
-registry no longer lists (``redwingpost.takeover.roster``). Two members
-behind one cut would otherwise go on acknowledging while the third leads;
-a crashed one that comes back between order and effect would confirm
-commits that the new primary lacks.
-
-``docs/design/takeover.md`` has the whole table.
+nothing, and its log holds every commit that it has acknowledged. A replica
+that holds the whole of that log may be promoted whichever other members are
+silent. A replica that is behind may be promoted only if every other member
+answered after the stop and none is ahead of it.
+
+An old primary that is silent may still run behind a network partition. Then
+no other member may be silent, and all that answer are paused: each commit
+that the old primary has acknowledged is in the log of one of them, and none
+of them confirms another.
+
+A silent member counts as long as its log may hold acknowledged commits, also
+after the registry has dropped it (``redwingpost.takeover.roster``).
+Otherwise two members behind the same partition could go on acknowledging
+commits after a third was promoted, and a crashed member that returns between
+the order and its effect could confirm commits that the new primary lacks.
+
+``docs/design/takeover.md`` has the full table of cases.
 """
 
 from typing import NamedTuple
@@ -28,20 +30,21 @@
 from redwingpost.core.positions import Position
 from redwingpost.takeover.status import MemberStatus
 
-#: Members that may be silent where no primary was stopped: the primary
-#: itself. A second one may hold the other copy of a commit, confirm more
-#: of them, and vouch to readers for a primary that was replaced.
+#: Members that may be silent where no primary was stopped: only the primary
+#: itself. A second one may hold the other copy of a commit, confirm further
+#: commits, and prove to readers that a primary that was replaced still leads.
 MAX_SILENT = 1
 
 
 class Survey(NamedTuple):
-    """What is known of a group's members right before an order.
-
-    ``statuses`` has every member whose log may matter, silent ones too.
-    ``stopped`` names an old primary that has said that it leads no more;
-    the other answers came after that. ``paused_for`` is the term for which
-    members were paused, ``sync_replicas`` how many replicas must receive a
-    commit before it is acknowledged. ``floor`` is what the chosen log must
+    """Status of a group's members immediately before a promotion order.
+
+    ``statuses`` has every member whose log may hold acknowledged commits,
+    including silent ones. ``stopped`` names an old primary that has confirmed
+    that it no longer leads; the other members answered after that.
+    ``paused_for`` is the term for which members were paused,
+    ``sync_replicas`` the number of replicas that must receive a commit before
+    it is acknowledged. ``floor`` is the position that the chosen log must
     hold in any case (``redwingpost.groups.evidence.GroupEvidence.floor``).
     """
 
@@ -59,14 +62,14 @@
 
 
 class Choice(NamedTuple):
-    """The replica to promote, and those to pause before."""
+    """The replica to promote, and the members to pause before that."""
 
     chosen: MemberStatus
     others: tuple[MemberStatus, ...]
 
 
 def pause_term(statuses: tuple[MemberStatus, ...]) -> int:
-    """Return the term to pause for: above all that is known.
+    """Return the term to pause for: above every reported term.
 
     Examples
     --------
@@ -87,33 +90,33 @@
 def candidates(
     statuses: tuple[MemberStatus, ...], leader: str | None
 ) -> tuple[MemberStatus, ...]:
-    """Return the replicas that may be promoted, the best first.
+    """Return the replicas that may be promoted, best first.
 
-    A member that is about to stop comes after those that stay: it would
-    have to be replaced again. It is there all the same, since it may be
-    the only one with everything that was acknowledged.
+    A draining member comes after all others, as it would have to be replaced
+    again. It is included because it may be the only one that holds every
+    acknowledged commit.
     """
     replicas = [
         item
         for item in statuses
         if item.entry.member != leader and not item.is_silent
-        # A primary that was replaced and doesn't know yet; what it holds
-        # counts all the same.
+        # Still reports as primary, although it was replaced. Its log is
+        # taken into account all the same.
         and not item.report.is_primary
     ]
     replicas.sort(key=lambda s: (s.received, s.entry.member), reverse=True)
     return tuple(sorted(replicas, key=lambda s: s.entry.is_draining))
 
 
-def choose(
+def choose_replica(
     statuses: tuple[MemberStatus, ...], leader: str | None
 ) -> Choice | None:
-    """Choose the replica that is furthest ahead, of those that stay.
+    """Choose the replica that is furthest ahead, draining ones last.
 
     Returns
     -------
     Choice or None
-        None where no replica answers.
+        None if no replica answers.
     """
     best = candidates(statuses, leader)
     if not best:
@@ -128,19 +131,19 @@
 def is_complete(
     chosen: Position, others: tuple[MemberStatus, ...], floor: Position
 ) -> bool:
-    """Say whether the chosen log holds all that was acknowledged.
+    """Return whether the chosen log holds every acknowledged commit.
 
     Parameters
     ----------
     chosen : Position
-        What the chosen replica has received by now.
+        Last position that the chosen replica has received.
     others : tuple of MemberStatus
-        The other replicas as they reported when paused; each must have
-        answered, since one that is unreachable may be ahead. One that
-        still takes itself for the primary can't be paused: it would step
-        down later and confirm commits that the chosen one lacks.
+        The other replicas as they reported when paused. Each must have
+        answered, since one that is unreachable may be ahead. One that still
+        reports as primary can't be paused: it would step down later and
+        confirm commits that the chosen one lacks.
     floor : Position
-        What the log must hold in any case
+        Position that the log must hold in any case
         (``redwingpost.groups.evidence.GroupEvidence.floor``).
     """
     return chosen >= floor and all(
@@ -152,14 +155,14 @@
 
 
 def may_promote(chosen: MemberStatus, survey: Survey) -> bool:
-    """Say whether a promotion may be ordered without losing a commit.
+    """Return whether a promotion can be ordered without losing a commit.
 
     Parameters
     ----------
     chosen : MemberStatus
-        The member that is to lead.
+        The member to promote.
     survey : Survey
-        What is known of the group.
+        Status of the group's members.
 
     Examples
     --------
@@ -181,7 +184,7 @@
     """
     others = survey.others(chosen.entry.member)
     if survey.stopped is not None:
-        return _may_follow_stopped(chosen, survey, others)
+        return _may_replace_stopped(chosen, survey, others)
     answering = tuple(item for item in others if not item.is_silent)
     if len(others) - len(answering) > MAX_SILENT:
         return False
@@ -190,10 +193,10 @@
     return is_complete(chosen.received, answering, survey.floor)
 
 
-def _may_follow_stopped(
+def _may_replace_stopped(
     chosen: MemberStatus, survey: Survey, others: tuple[MemberStatus, ...]
 ) -> bool:
-    """Say whether a member may lead after a primary that was stopped."""
+    """Return whether a member may replace a primary that was stopped."""
     stopped = tuple(
         item for item in others if item.entry.member == survey.stopped
     )
@@ -201,27 +204,27 @@
         return True
     if survey.sync_replicas == 0:
         return False
-    # What the stopped log has beyond the chosen one was acknowledged only
-    # if another member has it too.
+    # A commit that is in the stopped log but not in the chosen one was
+    # acknowledged only if another member holds it too.
     rest = tuple(item for item in others if item not in stopped)
     return is_complete(chosen.received, rest, survey.floor)
 
 
 def _are_paused(answering: tuple[MemberStatus, ...], term: int) -> bool:
-    """Say whether members still heed a pause.
+    """Return whether all members are still paused for a term.
 
-    One that has started again since it was paused has forgotten that, and
+    A member that has restarted since it was paused has lost the pause, and
     would confirm commits to an old primary that only this VM can't reach.
-    Its answer shows it.
+    Its report shows the lost pause.
     """
     return all(item.report.paused_for >= term for item in answering)
 
 
 def is_worth_stopping(chosen: MemberStatus, survey: Survey, old: str) -> bool:
-    """Say whether a stop of the old primary would let a replica lead.
+    """Return whether stopping the old primary would allow a promotion.
 
-    A primary that is stopped in vain leaves the group without one until
-    the next try.
+    Stopping it where no promotion can follow leaves the group without a
+    primary until the next attempt.
     """
     statuses = tuple(
         _as_stopped(item) if item.entry.member == old else item
--- a/redwingpost/takeover/roster.py
+++ b/redwingpost/takeover/roster.py
@@ -1,17 +1,18 @@
-"""Which members' logs may hold commits that callers count on.
-
-The registry lists who runs now. A member that it has dropped may still
-run behind a cut, or come back with its log: promoted without it, another
-member may lack commits that only the dropped one and the old primary
-have. Its callers would find them gone. So a group's roster names all
-members it has had, and lasts in the fleet's store, since a VM that has
-just started has only seen the list of that moment.
-
-A member is taken off the roster once two things hold. It is gone: it
-announced its end and used the time for that, or nothing has been seen of
-it for long. And all members that stay were seen to hold what the primary
-held after that; a commit that the missing one confirmed is then in every
-log that may be chosen.
+"""The members of a group whose logs may hold acknowledged commits.
+
+The registry lists the members that run now. A member that it has dropped may
+still run behind a network partition, or return with its log. If another
+member is promoted without regard to it, that member may lack commits that
+only the dropped one and the old primary hold, and callers lose acknowledged
+writes. So a group's roster names all members that the group has had. It is
+kept in the fleet's store, since a VM that has just started knows only the
+registry's present list.
+
+A member is removed from the roster under two conditions. It is gone: it
+announced its end and drained for the full time, or it has been off the list
+for long. And all remaining members have been seen to hold the position that
+the primary held after that, so that every commit that the missing member
+confirmed is in every log that may be chosen.
 """
 
 from typing import Any, NamedTuple
@@ -19,20 +20,20 @@
 from redwingpost.core.positions import Position
 from redwingpost.ports.database import MemberEntry, StatusReport
 
-#: Seconds off the registry's list after which a member that never
-#: announced its end counts as gone: far above what a crash or a cut lasts.
-GONE_FOR_GOOD_S = 30.0
+#: Seconds off the registry's list after which a member that never announced
+#: its end counts as gone: far longer than a crash or a partition lasts.
+PERMANENT_ABSENCE_S = 30.0
 
 #: Members that must hold what a missing one may have confirmed: as many as
-#: held it when it was acknowledged.
+#: held a commit when it was acknowledged.
 MIN_HOLDERS = 2
 
 
 class Absence(NamedTuple):
-    """How a member went off the registry's list.
+    """How a member left the registry's list; times are seconds.
 
-    ``missing_s`` is since when it is off the list, ``announced_s`` for how
-    long its end had been announced by then; None where it wasn't.
+    ``missing_s`` is how long it has been off the list, ``announced_s`` how
+    long before that it had announced its end (None if it hadn't).
     """
 
     missing_s: float
@@ -40,15 +41,15 @@
 
 
 class Roster(NamedTuple):
-    """A group's members as the fleet's store keeps them."""
+    """A group's members as recorded in the fleet's store."""
 
     member_by_name: dict[str, MemberEntry]
 
     def with_listed(self, entries: tuple[MemberEntry, ...]) -> "Roster":
-        """Return the roster with those that the registry lists.
+        """Return the roster with the members that the registry lists.
 
-        A member that starts again at its address may come under another
-        name, with the log of the one before; that one is listed no more.
+        A member that restarts at its address may have another name, and the
+        log of the earlier entry; it replaces that entry.
 
         Examples
         --------
@@ -58,7 +59,7 @@
         >>> sorted(roster.with_listed((new,)).member_by_name)
         ['m2']
         """
-        listed = {entry.member: _lasting(entry) for entry in entries}
+        listed = {entry.member: _without_state(entry) for entry in entries}
         addresses = {(entry.ip, entry.port) for entry in entries}
         earlier = {
             name: entry
@@ -68,7 +69,7 @@
         return Roster({**earlier, **listed})
 
     def without(self, members: frozenset[str]) -> "Roster":
-        """Return the roster without members whose logs matter no more."""
+        """Return the roster without members whose logs are not needed."""
         return Roster(
             {
                 name: entry
@@ -78,7 +79,7 @@
         )
 
     def to_value(self) -> dict[str, Any]:
-        """Return the row's value."""
+        """Return the value to store in the group's row."""
         return {
             name: [entry.ip, entry.port, entry.data_centre]
             for name, entry in self.member_by_name.items()
@@ -86,7 +87,7 @@
 
     @classmethod
     def from_value(cls, group: str, value: Any) -> "Roster":
-        """Return what a row holds; entries that can't be read are left out.
+        """Return the roster in a row's value, without unreadable entries.
 
         Examples
         --------
@@ -99,24 +100,24 @@
             return cls({})
         return cls(
             {
-                name: MemberEntry(name, group, *place, False, False)
-                for name, place in value.items()
-                if _is_place(place)
+                name: MemberEntry(name, group, *address, False, False)
+                for name, address in value.items()
+                if _is_address(address)
             }
         )
 
 
 def is_gone(absence: Absence, drain_s: float) -> bool:
-    """Say whether a member that is off the list will not come back.
+    """Return whether a member that is off the list will not return.
 
     Parameters
     ----------
     absence : Absence
-        How it went.
+        How it left the list.
     drain_s : float
-        Seconds that a member serves on after it has announced its end. One
-        that went sooner did not end as planned: it crashed, or lives
-        behind a cut and goes on confirming commits.
+        Seconds for which a member goes on serving after it has announced its
+        end. One that left sooner did not end as planned: it crashed, or it
+        runs behind a partition and goes on confirming commits.
 
     Examples
     --------
@@ -127,18 +128,18 @@
     >>> is_gone(Absence(missing_s=1.0, announced_s=None), drain_s=10.0)
     False
     """
-    if absence.missing_s >= GONE_FOR_GOOD_S:
+    if absence.missing_s >= PERMANENT_ABSENCE_S:
         return True
     return absence.announced_s is not None and absence.announced_s >= drain_s
 
 
-def do_all_hold(
+def is_held_by_all(
     position: Position, reports: tuple[StatusReport | None, ...]
 ) -> bool:
-    """Say whether all members that stay say that they hold a position.
+    """Return whether all remaining members report that they hold a position.
 
-    One alone is not enough: it may be lost next, and nobody would miss
-    what was only there.
+    One member is not enough: if it is lost next, commits that only it held
+    are lost unnoticed.
     """
     return len(reports) >= MIN_HOLDERS and all(
         report is not None and report.received >= position
@@ -146,8 +147,8 @@
     )
 
 
-def _lasting(entry: MemberEntry) -> MemberEntry:
-    """Return an entry without what changes while a member runs."""
+def _without_state(entry: MemberEntry) -> MemberEntry:
+    """Return an entry without the state that changes while a member runs."""
     return MemberEntry(
         entry.member,
         entry.group,
@@ -159,11 +160,11 @@
     )
 
 
-def _is_place(place: Any) -> bool:
+def _is_address(value: Any) -> bool:
     return (
-        isinstance(place, list)
-        and len(place) == 3
-        and isinstance(place[0], str)
-        and isinstance(place[1], int)
-        and isinstance(place[2], str)
+        isinstance(value, list)
+        and len(value) == 3
+        and isinstance(value[0], str)
+        and isinstance(value[1], int)
+        and isinstance(value[2], str)
     )
--- a/redwingpost/takeover/stall.py
+++ b/redwingpost/takeover/stall.py
@@ -1,44 +1,44 @@
-"""Notice a primary whose commits reach no replica.
+"""Detect a primary whose commits reach no replica.
 
-A primary that is cut off from its replicas still answers, and still
-takes writes; but no commit is ever acknowledged. It shows in that its
-log goes ahead of everything its replicas receive.
+A primary that is partitioned from its replicas still answers and still
+accepts writes, but no commit is ever acknowledged. The sign is that its log
+advances beyond everything that its replicas have received.
 """
 
 from redwingpost.core.positions import Position
 
 
-class StallWatch:
-    """Since when no replica has received what the primary holds.
+class StallDetector:
+    """Measures for how long no replica has received the primary's log.
 
     Examples
     --------
-    >>> watch = StallWatch()
-    >>> watch.note(Position(1, 9), [Position(1, 8)], now=1.0)
+    >>> detector = StallDetector()
+    >>> detector.observe(Position(1, 9), [Position(1, 8)], now=1.0)
     0.0
-    >>> watch.note(Position(1, 9), [Position(1, 8)], now=2.5)
+    >>> detector.observe(Position(1, 9), [Position(1, 8)], now=2.5)
     1.5
-    >>> watch.note(Position(1, 9), [Position(1, 9)], now=3.0)
+    >>> detector.observe(Position(1, 9), [Position(1, 9)], now=3.0)
     0.0
     """
 
     def __init__(self) -> None:
-        self._waiting_for: Position | None = None
+        self._awaited: Position | None = None
         self._since = 0.0
 
-    def note(
+    def observe(
         self, leader: Position, replicas: list[Position], now: float
     ) -> float:
-        """Take in one round; return the stall's length (seconds)."""
-        best = max(replicas, default=None)
-        if best is None:
-            self._waiting_for = None
+        """Add one round of positions; return the stall's length (seconds)."""
+        newest = max(replicas, default=None)
+        if newest is None:
+            self._awaited = None
             return 0.0
-        if self._waiting_for is not None and best < self._waiting_for:
+        if self._awaited is not None and newest < self._awaited:
             return now - self._since
-        if best >= leader:
-            self._waiting_for = None
+        if newest >= leader:
+            self._awaited = None
             return 0.0
-        self._waiting_for = leader
+        self._awaited = leader
         self._since = now
         return 0.0
--- a/redwingpost/takeover/status.py
+++ b/redwingpost/takeover/status.py
@@ -1,4 +1,4 @@
-"""What a group's members answer, as a takeover compares it."""
+"""The reports of a group's members that a takeover compares."""
 
 from typing import NamedTuple
 
@@ -7,14 +7,14 @@
 
 
 class MemberStatus(NamedTuple):
-    """A member and its report; None where it didn't answer."""
+    """A member and its report, None if it didn't answer."""
 
     entry: MemberEntry
     report: StatusReport | None
 
     @property
     def received(self) -> Position:
-        """Return the head of the member's log, as far as known."""
+        """Return the head of the member's log, or zero if unknown."""
         return ZERO_POSITION if self.report is None else self.report.received
 
     @property
@@ -24,15 +24,17 @@
 
 
 def newest_term(statuses: tuple[MemberStatus, ...]) -> int:
-    """Return the newest term that a member is in."""
+    """Return the newest term that any member reports."""
     return max(
         (item.report.term for item in statuses if not item.is_silent),
         default=0,
     )
 
 
-def leading(statuses: tuple[MemberStatus, ...], term: int) -> str | None:
-    """Return the member that answers as primary of the newest term."""
+def current_primary(
+    statuses: tuple[MemberStatus, ...], term: int
+) -> str | None:
+    """Return the primary of the newest term, None if before ``term``."""
     claims = [
         (item.report.term, item.entry.member)
         for item in statuses
@@ -43,8 +45,8 @@
     return max(claims)[1]
 
 
-def brief(status: MemberStatus) -> str:
-    """Return a member's answer in a few words, for the log."""
+def describe_status(status: MemberStatus) -> str:
+    """Return a short description of a member's status, for the log."""
     report = status.report
     if report is None:
         return f"{status.entry.member} silent"
--- a/redwingpost/takeover/tests/test_plan.py
+++ b/redwingpost/takeover/tests/test_plan.py
@@ -1,4 +1,4 @@
-"""Who may lead next, whatever each member of the group does."""
+"""Tests of which member may be promoted, by what each member reports."""
 
 from typing import NamedTuple
 from unittest import TestCase
@@ -17,7 +17,7 @@
 
 
 class Answer(NamedTuple):
-    """What a member says: its last commit, and the term it waits for."""
+    """A member's report: its last commit and the term it is paused for."""
 
     index: int
     paused_for: int = _PAUSED_FOR
@@ -47,9 +47,9 @@
 
 
 class Case(NamedTuple):
-    """What members say, and whether the promotion may be ordered.
+    """What members report, and whether the promotion may be ordered.
 
-    ``old`` is the primary so far; None for a member that is silent.
+    ``old`` is the previous primary. None stands for a silent member.
     """
 
     name: str
@@ -60,7 +60,7 @@
     is_stopped: bool = False
 
 
-_FORGOT = Answer(7, paused_for=0)
+_UNPAUSED = Answer(7, paused_for=0)
 _LEADS = Answer(7, 0, is_primary=True)
 _STOPPED = Answer(7, 0)
 _STOPPED_AHEAD = Answer(9, 0)
@@ -70,24 +70,29 @@
     Case("another is ahead", None, Answer(7), [Answer(8)], False),
     Case("another is silent", None, Answer(7), [None], False),
     Case("one of two is silent", None, Answer(7), [Answer(6), None], False),
-    Case("another forgot its pause", None, Answer(7), [_FORGOT], False),
-    Case("the chosen forgot its pause", None, _FORGOT, [Answer(7)], False),
-    Case("it leads", _LEADS, Answer(7), [Answer(7)], False),
-    Case("stopped", _STOPPED, _FORGOT, [Answer(7)], True, True),
-    Case("stopped, another silent", _STOPPED, _FORGOT, [None], True, True),
-    Case("stopped ahead", _STOPPED_AHEAD, _FORGOT, [Answer(7)], True, True),
-    Case("ahead, one silent", _STOPPED_AHEAD, _FORGOT, [None], False, True),
+    Case("another lost its pause", None, Answer(7), [_UNPAUSED], False),
+    Case("the chosen lost its pause", None, _UNPAUSED, [Answer(7)], False),
+    Case("old primary leads", _LEADS, Answer(7), [Answer(7)], False),
+    Case("stopped", _STOPPED, _UNPAUSED, [Answer(7)], True, True),
+    Case("stopped, another silent", _STOPPED, _UNPAUSED, [None], True, True),
+    Case("stopped ahead", _STOPPED_AHEAD, _UNPAUSED, [Answer(7)], True, True),
+    Case("ahead, one silent", _STOPPED_AHEAD, _UNPAUSED, [None], False, True),
     Case(
-        "ahead, as another", _STOPPED_AHEAD, _FORGOT, [Answer(8)], False, True
+        "stopped and another ahead",
+        _STOPPED_AHEAD,
+        _UNPAUSED,
+        [Answer(8)],
+        False,
+        True,
     ),
 )
 
 
 class PromotionTest(TestCase):
-    """An acknowledged commit may be in two logs alone.
+    """Guards against a promotion that loses an acknowledged commit.
 
-    Whoever promotes a third, or leaves the two able to confirm another,
-    loses a write that a caller was told is kept.
+    Such a commit may be in two logs only. It is lost if a third member is
+    promoted, or if the two can still confirm another commit.
     """
 
     def test_who_may_lead(self) -> None:
@@ -103,10 +108,10 @@
                 self.assertEqual(case.may_order, allowed)
 
     def test_a_stopped_primary_may_lead_again(self) -> None:
-        """No replica gets what was on its way as the primary was stopped.
+        """Guards against a group that stays without a primary.
 
-        The stopped one has everything. Without it the group would stay
-        without a primary.
+        The primary is stopped before its last commits reach a replica, and
+        another member is silent: only the stopped one has a complete log.
         """
         answers = {"old": Answer(9, 0), "a": Answer(7, 0), "b": None}
         survey = _survey(answers, "old")
@@ -118,10 +123,10 @@
         self.assertEqual(["old"], able)
 
     def test_without_synchronous_replicas(self) -> None:
-        """A primary acknowledges alone, and is ahead as it is stopped.
+        """Guards against dropping commits of a group that doesn't wait.
 
-        Other groups may pass over what no other member has; here that was
-        acknowledged.
+        With synchronous replicas, a commit that only the stopped primary
+        holds was never acknowledged. Without them, it was.
         """
         answers = {"old": Answer(9, 0), "a": Answer(7, 0), "b": Answer(7)}
         for sync_replicas, expected in ((1, True), (0, False)):
@@ -131,12 +136,13 @@
                 self.assertEqual(expected, allowed)
 
     def test_when_a_stop_is_worth_it(self) -> None:
-        """A primary is cut off from its replicas, and one is missing.
+        """Guards against stopping a primary that nothing can replace.
 
-        Stopped in vain it leaves the group without a primary, although it
-        would go on as soon as the missing one is back.
+        A primary is partitioned from its replicas and one of them is
+        missing. Stopping it leaves the group without a primary, although it
+        would go on once the missing replica is back.
         """
-        leading = Answer(9, 0, True)
+        primary = Answer(9, 0, True)
         cases = (
             ("caught up", {"a": Answer(9, 0), "b": Answer(9)}, True),
             ("caught up, one missing", {"a": Answer(9, 0), "b": None}, True),
@@ -145,20 +151,20 @@
         )
         for name, others, expected in cases:
             with self.subTest(name):
-                survey = _survey({"old": leading, **others}, None)
+                survey = _survey({"old": primary, **others}, None)
                 worth = is_worth_stopping(survey.statuses[1], survey, "old")
                 self.assertEqual(expected, worth)
 
     def test_in_which_order_members_are_tried(self) -> None:
-        """One that is about to stop comes last, however far it is."""
-        leaving = _status("leaving", Answer(9))
-        entry = leaving.entry._replace(is_draining=True)
+        """A draining member comes last, however far ahead it is."""
+        draining = _status("draining", Answer(9))
+        entry = draining.entry._replace(is_draining=True)
         statuses = (
-            leaving._replace(entry=entry),
+            draining._replace(entry=entry),
             _status("behind", Answer(6)),
             _status("ahead", Answer(8)),
             _status("silent", None),
             _status("leads", Answer(9, 0, True)),
         )
         names = [item.entry.member for item in candidates(statuses, None)]
-        self.assertEqual(["ahead", "behind", "leaving"], names)
+        self.assertEqual(["ahead", "behind", "draining"], names)
--- a/redwingpost/takeover/tests/test_roster.py
+++ b/redwingpost/takeover/tests/test_roster.py
@@ -1,15 +1,15 @@
-"""Whose logs matter: members that come, go, and come back."""
+"""Tests of rosters: members that join, leave and return."""
 
 from unittest import TestCase
 
 from redwingpost.core.positions import Position
 from redwingpost.ports.database import MemberEntry, StatusReport
 from redwingpost.takeover.roster import (
-    GONE_FOR_GOOD_S,
+    PERMANENT_ABSENCE_S,
     Absence,
     Roster,
-    do_all_hold,
     is_gone,
+    is_held_by_all,
 )
 
 _DRAIN_S = 7.0
@@ -25,17 +25,18 @@
 
 class RosterTest(TestCase):
     def test_who_is_on_it(self) -> None:
-        """A member that the registry dropped may hold the only copy.
+        """Guards against the loss of a commit that only one member holds.
 
-        One that starts again at its address has the log of the one
-        before, whatever its name.
+        A member that the registry has dropped may hold the only copy, so it
+        stays on the roster. One that restarts at its address has its log,
+        under whatever name.
         """
         known = Roster({}).with_listed((_entry("a", 1), _entry("b", 2)))
         cases = (
             ("dropped", (_entry("a", 1),), ["a", "b"]),
-            ("another comes", (_entry("c", 3),), ["a", "b", "c"]),
+            ("a third joins", (_entry("c", 3),), ["a", "b", "c"]),
             ("another name at its address", (_entry("c", 2),), ["a", "c"]),
-            ("nobody is listed", (), ["a", "b"]),
+            ("none is listed", (), ["a", "b"]),
         )
         for name, listed, expected in cases:
             with self.subTest(name):
@@ -52,28 +53,29 @@
 
     def test_who_is_gone(self) -> None:
         cases = (
-            ("ended as announced", Absence(0.5, _DRAIN_S + 1.0), True),
-            ("ended before its time", Absence(0.5, _DRAIN_S - 1.0), False),
+            ("drained", Absence(0.5, _DRAIN_S + 1.0), True),
+            ("ended while draining", Absence(0.5, _DRAIN_S - 1.0), False),
             ("crashed", Absence(5.0, None), False),
-            ("lost for good", Absence(GONE_FOR_GOOD_S, None), True),
+            ("permanently absent", Absence(PERMANENT_ABSENCE_S, None), True),
         )
         for name, absence, expected in cases:
             with self.subTest(name):
                 self.assertEqual(expected, is_gone(absence, _DRAIN_S))
 
     def test_when_it_may_be_forgotten(self) -> None:
-        """A member goes that had confirmed commits; one replica is deaf.
+        """Guards against promoting a replica that lacks confirmed commits.
 
-        Forgotten before the others hold them, it leaves the deaf one to
-        be promoted next.
+        A member that had confirmed commits ends while one replica receives
+        nothing. If it is taken off the roster before the others hold these
+        commits, the replica that lacks them may be promoted next.
         """
         position = Position(1, 7)
         cases = (
             ("all hold it", (_report(7), _report(8)), True),
-            ("one is deaf", (_report(9), _report(3)), False),
+            ("one receives nothing", (_report(9), _report(3)), False),
             ("one is silent", (_report(9), None), False),
-            ("one alone is left", (_report(9),), False),
+            ("only one member is left", (_report(9),), False),
         )
         for name, reports, expected in cases:
             with self.subTest(name):
-                self.assertEqual(expected, do_all_hold(position, reports))
+                self.assertEqual(expected, is_held_by_all(position, reports))
--- a/redwingpost/takeover/tests/test_takeover.py
+++ b/redwingpost/takeover/tests/test_takeover.py
@@ -1,4 +1,4 @@
-"""When a primary is replaced, by whom, and whether it is safe."""
+"""Tests of when a primary is replaced, by which replica, and how safely."""
 
 from unittest import TestCase
 
@@ -6,11 +6,11 @@
 from redwingpost.ports.database import MemberEntry, StatusReport
 from redwingpost.takeover.plan import (
     MemberStatus,
-    choose,
+    choose_replica,
     is_complete,
     pause_term,
 )
-from redwingpost.takeover.stall import StallWatch
+from redwingpost.takeover.stall import StallDetector
 from redwingpost.takeover.triggers import (
     CENTRE_LOST_S,
     STALLED_S,
@@ -30,7 +30,7 @@
     stalled_s=0.0,
     stuck_s=0.0,
     leaderless_s=0.0,
-    is_off_list=False,
+    registry_has_no_primary=False,
     replicas_answering=2,
     paused_s=0.0,
 )
@@ -60,14 +60,14 @@
                 None,
             ),
             (
-                "lost to most",
+                "silent to most VMs",
                 silent._replace(
                     others_silent_s=(0.9, 0.1), others_failing_s=(0.9, 0.0)
                 ),
                 Reason.SILENT,
             ),
             (
-                "silent, and this VM hears too few",
+                "silent, and heartbeats of too few VMs arrive",
                 silent._replace(hears_half=False, others_silent_s=()),
                 None,
             ),
@@ -108,22 +108,22 @@
                 Reason.STALLED,
             ),
             (
-                "writes wait in vain at every VM that has some",
+                "writes wait at every VM that has some",
                 _CALM._replace(stuck_s=STALLED_S),
                 Reason.STALLED,
             ),
             (
-                "writes wait in vain, and this VM can't reach it either",
+                "writes wait, and this VM can't reach the primary either",
                 silent._replace(others_silent_s=(0.1, 0.1), stuck_s=STALLED_S),
                 Reason.STALLED,
             ),
             (
-                "nobody leads",
+                "no primary",
                 _CALM._replace(leader=None, leaderless_s=1.0),
                 Reason.NONE_LEADS,
             ),
             (
-                "nobody leads, and this VM hears nobody",
+                "no primary, and no heartbeats arrive",
                 _CALM._replace(
                     leader=None, leaderless_s=1.0, hears_half=False
                 ),
@@ -135,12 +135,12 @@
                     leader=None,
                     leaderless_s=1.0,
                     hears_half=False,
-                    is_off_list=True,
+                    registry_has_no_primary=True,
                 ),
                 Reason.NONE_LEADS,
             ),
             (
-                "nobody leads, for a moment",
+                "no primary for a moment",
                 _CALM._replace(leader=None, leaderless_s=0.2),
                 None,
             ),
@@ -160,17 +160,17 @@
         cases = (
             ("furthest", [("a", 5, {}), ("b", 7, {})], "b"),
             (
-                "staying before leaving",
+                "draining comes last",
                 [("a", 5, {}), ("b", 7, {"is_draining": True})],
                 "a",
             ),
             (
-                "leaving where nobody stays",
+                "draining if there is no other",
                 [("b", 7, {"is_draining": True})],
                 "b",
             ),
             ("answering before silent", [("a", 5, {}), ("b", None, {})], "a"),
-            ("nobody", [("b", None, {})], None),
+            ("none answers", [("b", None, {})], None),
         )
         for name, members, expected in cases:
             with self.subTest(name):
@@ -178,39 +178,40 @@
                     _status(member, index, **changes)
                     for member, index, changes in members
                 )
-                choice = choose((*statuses, _status("old", 9)), "old")
+                choice = choose_replica((*statuses, _status("old", 9)), "old")
                 chosen = choice.chosen.entry.member if choice else None
                 self.assertEqual(expected, chosen)
 
     def test_the_old_primary_is_neither_chosen_nor_paused(self) -> None:
-        """The primary is dead and can't be paused.
+        """Guards against waiting for a dead primary to be paused.
 
-        Were it among those that must be paused, a takeover would wait
-        until the registry has dropped it, and writes with it.
+        If it had to be paused, the takeover, and all writes, would wait
+        until the registry has dropped it.
         """
         statuses = (
             _status("old", None),
             _status("a", 5),
             _status("b", 5),
         )
-        choice = choose(statuses, "old")
+        choice = choose_replica(statuses, "old")
         others = [item.entry.member for item in choice.others]
         self.assertNotIn("old", [choice.chosen.entry.member, *others])
 
     def test_when_the_chosen_log_is_complete(self) -> None:
-        """An acknowledged commit may be on one replica alone.
+        """Guards against promoting a replica that lacks a commit.
 
-        Promoting another loses a write that a caller was told is kept.
+        An acknowledged commit may be on one replica only; it is lost if
+        another replica is promoted.
         """
-        begun_with_less = Position(2, 6)
-        begun_with_more = Position(3, 8)
+        lower_floor = Position(2, 6)
+        higher_floor = Position(3, 8)
         cases = (
-            ("ahead", 7, ["5"], begun_with_less, True),
-            ("level", 7, ["7"], begun_with_less, True),
-            ("behind", 7, ["8"], begun_with_less, False),
-            ("one didn't answer", 7, ["5", ""], begun_with_less, False),
-            ("no other", 7, [], begun_with_less, True),
-            ("the primary began with more", 7, [], begun_with_more, False),
+            ("ahead", 7, ["5"], lower_floor, True),
+            ("level", 7, ["7"], lower_floor, True),
+            ("behind", 7, ["8"], lower_floor, False),
+            ("one didn't answer", 7, ["5", ""], lower_floor, False),
+            ("no other", 7, [], lower_floor, True),
+            ("the primary began with more", 7, [], higher_floor, False),
         )
         for name, chosen, others, floor, expected in cases:
             with self.subTest(name):
@@ -229,19 +230,21 @@
 
 
 class StallTest(TestCase):
-    def test_one_deaf_replica_is_no_stall(self) -> None:
-        watch = StallWatch()
+    def test_one_lagging_replica_is_no_stall(self) -> None:
+        detector = StallDetector()
         for now in range(5):
             head = Position(1, 10 + now)
-            stalled_s = watch.note(head, [Position(1, 3), head], float(now))
+            stalled_s = detector.observe(
+                head, [Position(1, 3), head], float(now)
+            )
             self.assertEqual(0.0, stalled_s)
 
     def test_a_primary_that_goes_on_alone(self) -> None:
-        """The primary is cut off from both replicas and takes writes."""
-        watch = StallWatch()
+        """The primary is partitioned from its replicas, accepts writes."""
+        detector = StallDetector()
         replicas = [Position(1, 9), Position(1, 9)]
         lengths = [
-            watch.note(Position(1, 10 + now), replicas, float(now))
+            detector.observe(Position(1, 10 + now), replicas, float(now))
             for now in range(4)
         ]
         self.assertEqual([0.0, 1.0, 2.0, 3.0], lengths)
--- a/redwingpost/takeover/triggers.py
+++ b/redwingpost/takeover/triggers.py
@@ -1,11 +1,11 @@
-"""When a group needs another primary, and who sees to it.
-
-Load pattern: a primary crashes, goes silent, is cut off from its
-replicas or from some of the VMs, or announces that it will stop. Acting
-on one VM's silence replaces a primary that only that VM can't reach, and
-every caller pays for it with a second without writes. So a primary
-counts as lost only if no VM in hearing has reached it lately, or if more
-than half of them can't.
+"""When a group's primary must be replaced.
+
+A primary may crash, stop answering, be partitioned from its replicas or from
+some of the VMs, or announce that it will stop. If a single VM's timeouts were
+enough, a primary that only this VM can't reach would be replaced, and all
+callers would lose about a second of writes. So a primary counts as lost only
+if no VM whose heartbeats arrive has reached it recently, or if more than half
+of them can't reach it.
 """
 
 from collections.abc import Iterable
@@ -15,34 +15,34 @@
 from redwingpost.membership.heartbeat import MergedHealth, PrimaryHealth
 
 #: Seconds without an answer after which a primary counts as silent:
-#: several times the longest ordinary answer and the probe's interval.
+#: several times the longest ordinary response time and the probe interval.
 SILENT_S = 1.0
 
-#: What others must report at least (seconds): their probes are spread
-#: over an interval, and a report is one heartbeat old.
+#: Silence (seconds) that the other VMs must report at least: their probes are
+#: spread over an interval, and a report is one heartbeat old.
 OTHERS_SILENT_S = 0.6
 
-#: Seconds for which the primary's whole data centre must have been lost:
-#: the evidence of several members and VMs needs no second, for which the
-#: group would be without a primary.
+#: Seconds for which the primary's whole data centre must have been
+#: unreachable: below ``SILENT_S``, as several members and VMs confirm it, and
+#: the group is without a primary meanwhile.
 CENTRE_LOST_S = 0.6
 
-#: What the VMs heard lately must report at least then (seconds): their
-#: report is a heartbeat old.
+#: Silence (seconds) that the VMs with a recent heartbeat must report at least
+#: in that case: their report is one heartbeat old.
 CENTRE_OTHERS_SILENT_S = 0.3
 
-#: Seconds that commits may wait for a replica before the primary counts
-#: as cut off from its replicas. Replicas receive a commit within
+#: Seconds that commits may wait for a replica before the primary counts as
+#: partitioned from its replicas. Replicas receive a commit within
 #: milliseconds, however long they take to apply it.
 STALLED_S = 1.2
 
-#: Seconds without any primary among members that answer.
-NONE_LEADS_S = 0.8
+#: Seconds without a primary among the members that answer.
+NO_PRIMARY_S = 0.8
 
-#: Seconds that each further VM waits for the one before it to act: what
-#: a claim of the duty takes, with some margin. Two that act at once meet
-#: at the duty's row, and one of them gives way.
-TURN_S = 0.15
+#: Seconds by which each further VM delays its takeover after the one before
+#: it: the time to claim the duty, with a margin. If two act at once, only one
+#: of them gets the duty's row.
+TAKEOVER_STAGGER_S = 0.15
 
 
 class Reason(Enum):
@@ -56,17 +56,40 @@
 
 
 class LeaderView(NamedTuple):
-    """What one VM sees of a group's primary; times are seconds.
-
-    ``silent_s`` is 0 while nothing has failed; ``others_silent_s`` and
-    ``others_failing_s`` hold what the VMs in hearing say. ``hears_half``:
-    at least half of the VMs are in hearing, this one included.
-    ``is_off_list``: the registry, which answers, lists no primary.
-    ``stuck_s`` is since when writes of some VM have waited in vain while
-    no VM in hearing had one acknowledged. ``centre_lost_s`` is for how
-    long the primary's whole data centre has been out of reach, and
-    ``latest_silent_s`` what the VMs heard lately say of the primary;
-    ``hears_half_lately`` counts these.
+    """One VM's view of a group's primary; times are seconds.
+
+    Attributes
+    ----------
+    leader : str or None
+        The primary.
+    is_listed, is_draining : bool
+        The primary's state in the registry.
+    silent_s : float
+        How long it hasn't answered this VM; 0 while nothing has failed.
+    others_silent_s, others_failing_s : tuple of float
+        The same from the VMs whose heartbeats arrive: one value for each
+        report, and one for each VM that observes the primary.
+    hears_half : bool
+        Heartbeats arrive from at least half of the VMs, this one included.
+    stalled_s : float
+        How long no replica has received the primary's log.
+    stuck_s : float
+        How long writes of some VM have waited while no VM whose heartbeats
+        arrive had one acknowledged.
+    leaderless_s : float
+        How long no member has reported as primary.
+    registry_has_no_primary : bool
+        The registry answers and lists no primary.
+    replicas_answering : int
+        Members other than the primary that answer.
+    paused_s : float
+        How long a member has been paused for a newer term.
+    centre_lost_s : float
+        How long the primary's whole data centre has been unreachable.
+    latest_silent_s : tuple of float
+        As ``others_silent_s``, only from VMs with a recent heartbeat.
+    hears_half_lately : bool
+        As ``hears_half``, counting only VMs with a recent heartbeat.
     """
 
     leader: str | None
@@ -79,7 +102,7 @@
     stalled_s: float
     stuck_s: float
     leaderless_s: float
-    is_off_list: bool
+    registry_has_no_primary: bool
     replicas_answering: int
     paused_s: float
     centre_lost_s: float = 0.0
@@ -92,12 +115,12 @@
 
     Examples
     --------
-    >>> calm = LeaderView(
+    >>> healthy = LeaderView(
     ...     "a", True, False, 0.0, (), (), True, 0.0, 0.0, 0.0, False, 2, 0.0
     ... )
-    >>> reason_to_act(calm) is None
+    >>> reason_to_act(healthy) is None
     True
-    >>> reason_to_act(calm._replace(is_draining=True)).value
+    >>> reason_to_act(healthy._replace(is_draining=True)).value
     'leaving'
     """
     if view.replicas_answering == 0:
@@ -117,27 +140,28 @@
     return None
 
 
-def stuck_at_all_s(
+def stuck_everywhere_s(
     own_stuck_s: float,
     own_acked_s: float,
     reports: Iterable[PrimaryHealth | MergedHealth],
 ) -> float:
-    """Return since when writes wait in vain and none is acknowledged.
+    """Return how long writes have waited while none was acknowledged.
 
     Parameters
     ----------
     own_stuck_s, own_acked_s : float
-        This VM's experience (seconds).
+        How long this VM's writes have waited, and how long ago one was
+        acknowledged (seconds).
     reports : iterable of PrimaryHealth or MergedHealth
-        That of the VMs in hearing.
+        The same from the VMs whose heartbeats arrive.
 
     Examples
     --------
-    >>> stuck_at_all_s(2.0, 9.0, [])
+    >>> stuck_everywhere_s(2.0, 9.0, [])
     2.0
-    >>> stuck_at_all_s(0.0, 9.0, [PrimaryHealth(100, 1500, 8000, 0)])
+    >>> stuck_everywhere_s(0.0, 9.0, [PrimaryHealth(100, 1500, 8000, 0)])
     1.5
-    >>> stuck_at_all_s(2.0, 9.0, [PrimaryHealth(100, 0, 300, 0)])
+    >>> stuck_everywhere_s(2.0, 9.0, [PrimaryHealth(100, 0, 300, 0)])
     0.0
     """
     stuck_s = [own_stuck_s, *(report.stuck_ms / 1000.0 for report in reports)]
@@ -147,23 +171,23 @@
 
 
 def _without_leader(view: LeaderView) -> Reason | None:
-    if view.leaderless_s < NONE_LEADS_S:
+    if view.leaderless_s < NO_PRIMARY_S:
         return None
     # The registry drops a primary that has not reported for three
-    # heartbeats: then even a VM that hears nobody may act. It may be the
-    # only one on the replicas' side of a cut.
-    if view.hears_half or view.is_off_list:
+    # heartbeats. Then even a VM that receives no heartbeats may act, since
+    # it may be the only one on the replicas' side of a partition.
+    if view.hears_half or view.registry_has_no_primary:
         return Reason.NONE_LEADS
     return None
 
 
 def _is_stalled(view: LeaderView) -> bool:
-    """Say whether the primary can't get commits to its replicas.
+    """Return whether the primary's commits don't reach its replicas.
 
-    Seen either in the logs, by a VM that reaches all members; or in that
-    writes wait in vain and none is acknowledged to anybody. The latter
-    also shows where the primary and some VMs are on one side of a cut
-    and its replicas on the other: no VM then sees both.
+    A VM that reaches all members sees it in their logs. Otherwise it shows
+    in that writes wait and no VM has one acknowledged. That also covers a
+    partition with the primary and some VMs on one side and its replicas on
+    the other, where no VM reaches both.
     """
     if view.stalled_s >= STALLED_S:
         return True
@@ -183,17 +207,20 @@
 
 
 def _is_centre_lost(view: LeaderView) -> bool:
-    """Say whether the primary's data centre is lost to all in hearing."""
+    """Return whether the primary's data centre is lost to all VMs.
+
+    Only the VMs whose heartbeats arrived recently count.
+    """
     if view.centre_lost_s < CENTRE_LOST_S or not view.hears_half_lately:
         return False
     return all(s >= CENTRE_OTHERS_SILENT_S for s in view.latest_silent_s)
 
 
 def _is_lost_to_most(view: LeaderView) -> bool:
-    """Say whether more than half of the VMs can't reach the primary.
+    """Return whether more than half of the VMs can't reach the primary.
 
-    A primary that a cut leaves to a few VMs serves their callers and
-    nobody else's; a replica that all reach serves everybody.
+    A primary that only a few VMs reach serves only their callers; a replica
+    that all VMs reach serves all callers.
     """
     failing = 1 + sum(s >= OTHERS_SILENT_S for s in view.others_failing_s)
     return 2 * failing > 1 + len(view.others_failing_s)
