--- a/redwingpost/groups/directory.py
+++ b/redwingpost/groups/directory.py
@@ -1,15 +1,16 @@
-"""Which members there are, from a registry that may be away for a while.
+"""The members known from the registry, with a grace period after outages.
 
-The registry drops a member that has been silent for three heartbeats, at
-times only because the registry itself was away. Taken at its word right
-after an outage, it would leave a group without members although all of
-them run, and every caller would be refused. So what is missing then is
-kept for ``REAPPEAR_S`` after the registry's return, the time within
-which living members are back; what is still missing is gone.
+The registry drops a member that has been silent for three heartbeats,
+sometimes only because the registry itself was unavailable. If its list were
+used unchanged right after an outage, a group could be left without members
+although all of them run, and every caller would be refused. So a member that
+is missing then is kept for ``REREGISTRATION_S`` after the registry's return,
+within which living members register again. One still missing after that is
+gone.
 
-An outage may show nowhere: a VM that waits for the registry's next change
+An outage may go unnoticed: a VM that waits for the registry's next change
 gets it once the outage is over. So a member that is removed without having
-announced its end is kept as long if it answers.
+announced its end is kept equally long if it answers.
 """
 
 from collections.abc import Callable
@@ -18,28 +19,28 @@
 from redwingpost.ports.database import MemberEntry
 
 #: Seconds after the registry's return within which living members have
-#: registered again: about two by the platform's word, and some margin.
-REAPPEAR_S = 2.5
+#: registered again: about two according to the platform, and a margin.
+REREGISTRATION_S = 2.5
 
-#: Seconds after an outage of the registry in which what it tells may be
-#: old news: the first answers after its return.
-OLD_NEWS_S = 1.0
+#: Seconds after an outage of the registry during which its list may be stale:
+#: its first answers after the return.
+STALE_LIST_S = 1.0
 
-#: Seconds for which a member that is gone can still be asked whether it
-#: lives, before a takeover concludes without it. Its log may hold an
-#: acknowledged commit while only its registration has lapsed.
-REMEMBER_GONE_S = 30.0
+#: Seconds for which a removed member is remembered, so that a takeover can
+#: still ask it before it goes on without it. Its log may hold an acknowledged
+#: commit while only its registration has lapsed.
+REMOVED_RETENTION_S = 30.0
 
 
-class Listed(NamedTuple):
-    """A member and since when it has been in its state (seconds).
+class ListedMember(NamedTuple):
+    """A listed member and the times of its state changes (seconds).
 
-    ``draining_since`` is minus infinity where nobody here saw the member
-    announce that it leaves: at the start of this VM, or after an outage.
-    It may have done so long ago, and would get new work until it exits if
-    its time were counted from when this VM heard of it. ``restarted_at``
-    is when it was first seen in another life than
-    before; minus infinity where it has always been the same.
+    ``draining_since`` is minus infinity if this VM did not see the member
+    announce its end: at the start of this VM, or after an outage. It may have
+    done so long ago, and would get new work until it exits if its drain time
+    were counted from when this VM learned of it. ``restarted_at`` is when the
+    member was first seen with another start time than before; minus infinity
+    if that has never changed.
     """
 
     entry: MemberEntry
@@ -47,15 +48,15 @@
     restarted_at: float
 
 
-class Gone(NamedTuple):
-    """A member as it was listed last, and when it went (seconds)."""
+class RemovedMember(NamedTuple):
+    """A member as last listed, and when it was removed (seconds)."""
 
-    listed: Listed
-    gone_at: float
+    listed: ListedMember
+    removed_at: float
 
 
 class Directory:
-    """The members by name, with their grace after an outage.
+    """The listed members, with a grace period after an outage.
 
     Examples
     --------
@@ -73,28 +74,28 @@
     Parameters
     ----------
     keep_answering_s : float, optional
-        Seconds for which a member that is removed and answers is kept.
+        Seconds for which a removed member that still answers is kept.
     """
 
-    def __init__(self, keep_answering_s: float = REAPPEAR_S) -> None:
+    def __init__(self, keep_answering_s: float = REREGISTRATION_S) -> None:
         self._keep_answering_s = keep_answering_s
-        self._listed_by_member: dict[str, Listed] = {}
-        self._gone_by_member: dict[str, Gone] = {}
-        self._leaving_at_by_member: dict[str, float] = {}
+        self._listed_by_member: dict[str, ListedMember] = {}
+        self._removed_by_member: dict[str, RemovedMember] = {}
+        self._drop_at_by_member: dict[str, float] = {}
         self._outage_at = float("-inf")
 
     def put(self, entry: MemberEntry, now: float) -> None:
-        """Take in a member's present entry."""
+        """Add a member's entry, or replace the one known."""
         known = self._listed_by_member.get(entry.member)
         since = self._draining_since(known, now) if entry.is_draining else None
         restarted_at = self._restarted_at(known, entry, now)
-        listed = Listed(entry, since, restarted_at)
+        listed = ListedMember(entry, since, restarted_at)
         self._listed_by_member[entry.member] = listed
-        self._leaving_at_by_member.pop(entry.member, None)
-        self._gone_by_member.pop(entry.member, None)
+        self._drop_at_by_member.pop(entry.member, None)
+        self._removed_by_member.pop(entry.member, None)
 
     def remove(self, member: str, now: float, answers: bool = False) -> None:
-        """Take in that the registry no longer lists a member.
+        """Remove a member that the registry no longer lists.
 
         Parameters
         ----------
@@ -103,16 +104,16 @@
         now : float
             Seconds.
         answers : bool, optional
-            Whether nothing has failed there since its last answer.
+            Whether no request to it has failed since its last answer.
         """
         listed = self._listed_by_member.get(member)
         if listed is None:
             return
-        leave_at = self._outage_at + REAPPEAR_S
+        drop_at = self._outage_at + REREGISTRATION_S
         if answers and listed.draining_since is None:
-            leave_at = max(leave_at, now + self._keep_answering_s)
-        if now < leave_at:
-            self._leaving_at_by_member.setdefault(member, leave_at)
+            drop_at = max(drop_at, now + self._keep_answering_s)
+        if now < drop_at:
+            self._drop_at_by_member.setdefault(member, drop_at)
             return
         self._drop(member, now)
 
@@ -122,7 +123,7 @@
         now: float,
         answers: Callable[[str], bool] = lambda member: False,
     ) -> None:
-        """Take in the whole list; ``answers`` as in ``remove``."""
+        """Replace the whole list; ``answers`` is as in ``remove``."""
         present = {entry.member for entry in entries}
         for entry in entries:
             self.put(entry, now)
@@ -131,47 +132,47 @@
                 self.remove(member, now, answers(member))
 
     def note_outage(self, now: float) -> None:
-        """Note that the registry is, or was until now, away."""
+        """Record that the registry is, or was until now, unavailable."""
         self._outage_at = now
 
     def expire(self, now: float) -> None:
-        """Drop what did not come back in time, forget what is long gone."""
-        for member, leave_at in tuple(self._leaving_at_by_member.items()):
-            if now >= leave_at:
+        """Drop missing members whose grace ended, and old removed ones."""
+        for member, drop_at in tuple(self._drop_at_by_member.items()):
+            if now >= drop_at:
                 self._drop(member, now)
-        for member, gone in tuple(self._gone_by_member.items()):
-            if now - gone.gone_at > REMEMBER_GONE_S:
-                del self._gone_by_member[member]
+        for member, removed in tuple(self._removed_by_member.items()):
+            if now - removed.removed_at > REMOVED_RETENTION_S:
+                del self._removed_by_member[member]
 
-    def get(self, member: str) -> Listed | None:
-        """Return a listed member."""
+    def get(self, member: str) -> ListedMember | None:
+        """Return a listed member, None if it isn't listed."""
         return self._listed_by_member.get(member)
 
     def members_of(self, group: str) -> tuple[MemberEntry, ...]:
-        """Return a group's members."""
+        """Return the entries of a group's listed members."""
         return tuple(
             listed.entry
             for listed in self._listed_by_member.values()
             if listed.entry.group == group
         )
 
-    def lately_gone(self, group: str) -> tuple[MemberEntry, ...]:
-        """Return a group's members that have gone a short while ago."""
+    def recently_removed(self, group: str) -> tuple[MemberEntry, ...]:
+        """Return the entries of a group's recently removed members."""
         return tuple(
-            gone.listed.entry
-            for gone in self._gone_by_member.values()
-            if gone.listed.entry.group == group
+            removed.listed.entry
+            for removed in self._removed_by_member.values()
+            if removed.listed.entry.group == group
         )
 
     def announced_s(self, member: str) -> float | None:
-        """Return for how long a member had announced its end as it went.
+        """Return how long before its removal a member announced its end.
 
-        None where it hadn't, or where this VM doesn't know the member.
+        None if it didn't, or if this VM doesn't know the member.
         """
-        gone = self._gone_by_member.get(member)
-        if gone is None or gone.listed.draining_since is None:
+        removed = self._removed_by_member.get(member)
+        if removed is None or removed.listed.draining_since is None:
             return None
-        return gone.gone_at - gone.listed.draining_since
+        return removed.removed_at - removed.listed.draining_since
 
     def groups(self) -> frozenset[str]:
         """Return the groups that have members."""
@@ -180,14 +181,14 @@
         )
 
     def _restarted_at(
-        self, known: Listed | None, entry: MemberEntry, now: float
+        self, known: ListedMember | None, entry: MemberEntry, now: float
     ) -> float:
-        """Return when a member was first seen in another life (seconds)."""
-        gone = self._gone_by_member.get(entry.member)
-        if known is None and gone is not None:
-            known = gone.listed
+        """Return when a member was first seen after a restart (seconds)."""
+        removed = self._removed_by_member.get(entry.member)
+        if known is None and removed is not None:
+            known = removed.listed
             if not entry.started_ms:
-                # Nothing tells whether it started again off the list.
+                # It may have restarted while it was not listed.
                 return now
         if known is None:
             return float("-inf")
@@ -195,15 +196,15 @@
             return now
         return known.restarted_at
 
-    def _draining_since(self, known: Listed | None, now: float) -> float:
-        """Return since when a member that is leaving has been (seconds)."""
+    def _draining_since(self, known: ListedMember | None, now: float) -> float:
+        """Return when a draining member announced its end (seconds)."""
         if known is not None and known.draining_since is not None:
             return known.draining_since
-        if known is None or now < self._outage_at + OLD_NEWS_S:
+        if known is None or now < self._outage_at + STALE_LIST_S:
             return float("-inf")
         return now
 
     def _drop(self, member: str, now: float) -> None:
         listed = self._listed_by_member.pop(member)
-        self._leaving_at_by_member.pop(member, None)
-        self._gone_by_member[member] = Gone(listed, now)
+        self._drop_at_by_member.pop(member, None)
+        self._removed_by_member[member] = RemovedMember(listed, now)
--- a/redwingpost/groups/evidence.py
+++ b/redwingpost/groups/evidence.py
@@ -1,21 +1,21 @@
-"""What is proven about a group: who leads, since when, up to where.
+"""What members' reports prove about a group's primary and its log.
 
-Answers a primary that was replaced without noticing. It goes on serving
-reads as before, and its callers miss every commit that the new primary
-acknowledged. No clock helps: the proxy may have been suspended between
-its check and the read.
+Guards against reads at a primary that was replaced without noticing. It goes
+on serving reads, and its callers miss every commit that the new primary has
+acknowledged. A clock doesn't prevent this, since the proxy may have been
+suspended between its check and the read.
 
-The proof rests on the order of a takeover. Before a promotion takes
-effect, every replica but the chosen one has been paused for the new term
+The proof rests on the order of steps in a takeover. Before a promotion takes
+effect, every replica but the chosen one is paused for the new term
 (``redwingpost.takeover.plan``). So a replica that is asked *after* a read
-arrived, and that is neither paused for a newer term nor in one, shows
-that no promotion was in effect when the read arrived: whoever led then
-held every acknowledged commit. One such answer serves all reads that
-wait for it, and it needs neither the platform's store nor a clock.
-
-The same answers give *samples*: a position that the primary's log had
-reached at a moment when it was proven to lead covers all that was
-acknowledged before that moment.
+arrived, and is neither paused for a newer term nor in one, shows that no
+promotion was in effect when the read arrived: the primary of that moment held
+every acknowledged commit. One such report serves all reads that wait for it,
+and needs neither the platform's store nor a clock.
+
+The same reports give *samples*: a position that the primary's log had reached
+at a moment when it was proven to lead covers every commit acknowledged before
+that moment.
 """
 
 from collections import deque
@@ -24,32 +24,32 @@
 from redwingpost.core.positions import ZERO_POSITION, Position
 from redwingpost.ports.database import StatusReport
 
-#: Samples kept, and the least time between two (seconds): together more
-#: than the largest stated age of today, 2.5 s.
+#: Samples kept, and the shortest time between two (seconds): together they
+#: span more than the largest ``max_staleness_s`` in use, 2.5 s.
 _MAX_SAMPLES = 64
-SPACING_S = 0.05
+SAMPLE_SPACING_S = 0.05
 
-#: A replica that started again this short ago (seconds) proves nothing:
-#: a restart forgets a pause. Longer than a takeover takes altogether.
-FRESH_START_S = 10.0
+#: Seconds after a restart during which a replica's report proves nothing, as
+#: a restart loses the pause: longer than a whole takeover takes.
+RECENT_RESTART_S = 10.0
 
 
 class Sample(NamedTuple):
-    """All that was acknowledged before ``taken_at`` is in ``position``."""
+    """A position that covers commits acknowledged before ``taken_at``."""
 
     taken_at: float
     position: Position
 
 
-class Heard(NamedTuple):
-    """A member's last report and when it was asked for (seconds)."""
+class TimedReport(NamedTuple):
+    """A member's report and when it was requested (seconds)."""
 
     report: StatusReport
     asked_at: float
 
 
-def vouches(report: StatusReport, term: int) -> bool:
-    """Say whether a replica takes commits of a term's primary."""
+def accepts_commits(report: StatusReport, term: int) -> bool:
+    """Return whether a replica accepts commits of a term's primary."""
     return (
         not report.is_primary
         and report.term <= term
@@ -58,7 +58,7 @@
 
 
 class GroupEvidence:
-    """Reports of one group's members and what follows from them.
+    """Collects the reports of a group's members and what they prove.
 
     Examples
     --------
@@ -68,13 +68,13 @@
     >>> replica = StatusReport(False, 3, head, 0, 5, 0, 1)
     >>> evidence.note_report("a", primary, asked_at=1.0)
     >>> evidence.note_report("b", replica, asked_at=1.0)
-    >>> evidence.conclude(asked_at=1.0)
+    >>> evidence.derive_proof(asked_at=1.0)
     >>> evidence.leader, evidence.proven_at
     ('a', 1.0)
     """
 
     def __init__(self) -> None:
-        self._heard_by_member: dict[str, Heard] = {}
+        self._report_by_member: dict[str, TimedReport] = {}
         self._samples: deque[Sample] = deque(maxlen=_MAX_SAMPLES)
         self.leader: str | None = None
         self.term = 0
@@ -85,19 +85,19 @@
 
     @property
     def floor(self) -> Position:
-        """Return what a log must hold to succeed the present primary's.
+        """Return the position that a log must hold to be promoted next.
 
-        The log with which it began to lead, where that was seen, and the
-        newest commit that this VM has acknowledged.
+        It covers the log with which the present primary began to lead, if
+        that was seen, and the newest commit that this VM has acknowledged.
         """
         if self._prefix_term != self.term:
             return self._acknowledged
         return max(self._prefix, self._acknowledged)
 
     def holds(self, position: Position) -> bool:
-        """Say whether the present primary began with a commit in its log.
+        """Return whether the present primary began with a commit in its log.
 
-        False where that isn't known.
+        False if that isn't known.
         """
         prefix = self._prefix
         return (
@@ -109,47 +109,47 @@
     def note_report(
         self, member: str, report: StatusReport, asked_at: float
     ) -> None:
-        """Take in a member's report; older ones than known are ignored."""
-        known = self._heard_by_member.get(member)
+        """Add a member's report, unless a later one is known."""
+        known = self._report_by_member.get(member)
         if known is not None and known.asked_at > asked_at:
             return
-        self._heard_by_member[member] = Heard(report, asked_at)
+        self._report_by_member[member] = TimedReport(report, asked_at)
         self._note_prefix(report)
-        self._settle_leader()
+        self._update_leader()
 
     def forget(self, member: str) -> None:
-        """Drop a member that is gone."""
-        if self._heard_by_member.pop(member, None) is not None:
-            self._settle_leader()
-
-    def disavow(self, member: str) -> None:
-        """Note that a member refused a write as no primary."""
-        heard = self._heard_by_member.get(member)
-        if heard is None or not heard.report.is_primary:
+        """Remove a member that is gone."""
+        if self._report_by_member.pop(member, None) is not None:
+            self._update_leader()
+
+    def note_not_primary(self, member: str) -> None:
+        """Record that a member refused a write because it doesn't lead."""
+        last = self._report_by_member.get(member)
+        if last is None or not last.report.is_primary:
             return
-        report = heard.report._replace(is_primary=False)
-        self._heard_by_member[member] = heard._replace(report=report)
-        self._settle_leader()
+        report = last.report._replace(is_primary=False)
+        self._report_by_member[member] = last._replace(report=report)
+        self._update_leader()
 
-    def heard(self, member: str) -> Heard | None:
+    def last_report(self, member: str) -> TimedReport | None:
         """Return a member's last report."""
-        return self._heard_by_member.get(member)
+        return self._report_by_member.get(member)
 
     def is_proof(self, report: StatusReport) -> bool:
-        """Say whether a report shows that the leader was still in force."""
-        return self.leader is not None and vouches(report, self.term)
+        """Return whether a report proves that the primary still led."""
+        return self.leader is not None and accepts_commits(report, self.term)
 
     def note_proof(self, asked_at: float) -> None:
-        """Note that the leader was in force at ``asked_at``."""
+        """Record that the primary still led at ``asked_at``."""
         self.proven_at = max(self.proven_at, asked_at)
 
     def note_commit(
         self, member: str, position: Position | None, sent_at: float
     ) -> None:
-        """Take in a commit that a replica has confirmed.
+        """Add a commit that a replica has confirmed.
 
-        An unpaused replica took it from the leader after ``sent_at``,
-        which proves as much as its report would.
+        A replica that isn't paused accepted it from the primary after
+        ``sent_at``, which proves as much as its report would.
         """
         if member != self.leader or position is None:
             return
@@ -162,7 +162,7 @@
     def note_shared(
         self, member: str, position: Position, taken_at: float
     ) -> None:
-        """Take in a sample that another VM took at ``taken_at``."""
+        """Add a sample that another VM took at ``taken_at``."""
         if member != self.leader or position.term != self.term:
             return
         self.note_proof(taken_at)
@@ -172,22 +172,22 @@
         """Return the youngest sample."""
         return max(self._samples, default=None)
 
-    def conclude(self, asked_at: float, provers: frozenset | None = None):
-        """Draw a proof and a sample from reports asked since a moment.
+    def derive_proof(self, asked_at: float, provers: frozenset | None = None):
+        """Derive a proof and a sample from the reports of one round.
 
         Parameters
         ----------
         asked_at : float
-            When the round of questions began (seconds).
+            When the round of requests began (seconds).
         provers : frozenset of str, optional
-            Members whose word counts; all where None.
+            Members whose reports count as proof; all if None.
         """
         if self.leader is None:
             return
         fresh_by_member = {
-            member: heard.report
-            for member, heard in self._heard_by_member.items()
-            if heard.asked_at >= asked_at
+            member: last.report
+            for member, last in self._report_by_member.items()
+            if last.asked_at >= asked_at
         }
         proven = any(
             self.is_proof(report)
@@ -204,22 +204,26 @@
     def sample_since(self, taken_at: float) -> Sample | None:
         """Return the oldest sample taken at ``taken_at`` or later.
 
-        The oldest that will do: it asks least of a lagging replica.
+        The oldest one is the easiest for a lagging replica to reach.
         """
-        good = [s for s in self._samples if s.taken_at >= taken_at]
-        return min(good, default=None)
+        recent = [s for s in self._samples if s.taken_at >= taken_at]
+        return min(recent, default=None)
 
     def _add_sample(self, sample: Sample) -> None:
         newest = self.newest_sample()
-        if newest is None or sample.taken_at - newest.taken_at > SPACING_S:
+        if (
+            newest is None
+            or sample.taken_at - newest.taken_at > SAMPLE_SPACING_S
+        ):
             self._samples.append(sample)
 
     def _note_prefix(self, report: StatusReport) -> None:
-        """Note with which log a primary began, while it is without commit.
+        """Record the log with which a primary began, before it commits.
 
-        Its first commit has a higher term than all before it. One that was
-        first seen with commits of its own began with a log that nobody
-        here knows: then only a log with one of these commits holds it.
+        Its first commit has a higher term than all before it. If a primary
+        already has commits of its own when first seen, the log with which it
+        began is unknown; a log certainly holds that only if it has one of
+        these commits.
         """
         if not report.is_primary or report.term < self._prefix_term:
             return
@@ -229,10 +233,10 @@
             self._prefix = Position(report.term, 0)
         self._prefix_term = report.term
 
-    def _settle_leader(self) -> None:
+    def _update_leader(self) -> None:
         reports = [
-            (heard.report.term, member, heard.report.is_primary)
-            for member, heard in self._heard_by_member.items()
+            (last.report.term, member, last.report.is_primary)
+            for member, last in self._report_by_member.items()
         ]
         newest = max((term for term, _, _ in reports), default=0)
         claims = [
@@ -243,7 +247,7 @@
         leader = claims[0] if claims else None
         if newest != self.term or leader not in (self.leader, None):
             # Positions of an earlier term may name commits that the new
-            # primary never had; a replica would wait for them for ever.
+            # primary never had; a replica would wait for them forever.
             self._samples.clear()
             self.proven_at = float("-inf")
         self.leader = leader
--- a/redwingpost/groups/questions.py
+++ b/redwingpost/groups/questions.py
@@ -1,113 +1,115 @@
-"""When a member is asked whether it lives.
+"""When to probe whether a member is alive.
 
-Load pattern: a cut drops what goes to a member, without a word. The
-statements under way there wait for their time limit, a second or more,
-and so does whoever decides that callers fare better at another VM. Asked
-too often, members answer questions in place of statements.
+Load pattern: a network partition silently drops what is sent to a member.
+Statements in flight there wait for their timeout, a second or more, and the
+decision to send callers to another VM is delayed as long. If probes are sent
+too often, members spend their capacity on them instead of on statements.
 """
 
 from typing import NamedTuple
 
-#: Seconds after which a primary that answered neither this VM nor, by
-#: their heartbeats, another is asked; each further VM leaves the one
-#: before it the time of a heartbeat. One question a second then shows all
-#: VMs that the primary of an idle group lives.
-QUIET_S = 0.8
-QUIET_STEP_S = 0.3
+#: Seconds after which a VM probes a primary that has answered neither this VM
+#: nor, by their heartbeats, any other. Each further VM in order waits one
+#: heartbeat longer, so that about one probe a second shows all VMs that the
+#: primary of an idle group is alive.
+IDLE_PROBE_S = 0.8
+IDLE_PROBE_STEP_S = 0.3
 
 #: Seconds that statements may wait at a member that answers none of them
-#: before it is asked: hardly any takes longer where all is well. A cut that
-#: drops what is sent shows after this and the question's time limit, and
-#: not after a statement's, which is much longer.
+#: before it is probed: hardly any statement takes longer in normal operation.
+#: A partition is detected after this time and the probe's timeout, rather
+#: than after a statement's timeout, which is much longer.
 OVERDUE_S = 0.3
 
-#: Seconds between questions to one member: a question's time limit.
-ASK_AGAIN_S = 0.4
+#: Seconds between probes of one member: a probe's timeout.
+PROBE_INTERVAL_S = 0.4
 
 
-#: VMs that ask all members of a group in which something looks wrong, each
-#: at the shorter pace: enough that one of them acts though some are cut
-#: off. All others ask at the longer one, and hear of a new primary in
-#: heartbeats. If each of 200 VMs asked four times a second, a member would
-#: answer questions only; full with their connections it would look lost to
-#: the rest, who would ask in their turn.
-ALERT_ASKERS = 7
-ALERT_ROUND_S = 0.25
-ALERT_OTHERS_S = 3.0
+#: VMs that probe all members of a suspect group at the shorter interval:
+#: enough that one of them can act although some are partitioned. All others
+#: use the longer interval and learn of a new primary from heartbeats. If each
+#: of 200 VMs probed four times a second, a member would answer nothing but
+#: probes; full of their connections it would seem lost to the other VMs,
+#: which would then probe it as well.
+ALERT_PROBERS = 7
+ALERT_INTERVAL_S = 0.25
+ALERT_OTHERS_INTERVAL_S = 3.0
 
 
-class MemberQuiet(NamedTuple):
-    """For how long a member has been quiet; all in seconds.
+class MemberSilence(NamedTuple):
+    """How long a member has been silent; times are seconds.
 
-    ``answered_s`` and ``asked_s`` since its last answer to this VM and
-    the last question, ``elsewhere_s`` since it answered another VM,
-    ``waiting_s`` for how long statements have waited there without any
-    answer (0 where none waits).
+    ``answered_s`` and ``probed_s`` count from its last answer to this VM and
+    the last probe, ``elsewhere_s`` from its last answer to another VM.
+    ``waiting_s`` is how long statements have waited there without any answer
+    (0 if none waits).
     """
 
     answered_s: float
-    asked_s: float
+    probed_s: float
     elsewhere_s: float
     waiting_s: float
 
 
-def alert_round_s(place: int) -> float:
-    """Return how often to ask while something looks wrong (seconds).
+def alert_interval_s(place: int) -> float:
+    """Return the interval of probes to a suspect group (seconds).
 
     Parameters
     ----------
     place : int
-        This VM's place in the order of VMs that ask.
+        This VM's place in the order of VMs that probe, from 0.
 
     Examples
     --------
-    >>> alert_round_s(0), alert_round_s(100)
+    >>> alert_interval_s(0), alert_interval_s(100)
     (0.25, 3.0)
     """
-    return ALERT_ROUND_S if place < ALERT_ASKERS else ALERT_OTHERS_S
+    return (
+        ALERT_INTERVAL_S if place < ALERT_PROBERS else ALERT_OTHERS_INTERVAL_S
+    )
 
 
-def is_overdue(quiet: MemberQuiet) -> bool:
-    """Say whether statements wait too long at a member.
+def is_overdue(silence: MemberSilence) -> bool:
+    """Return whether to probe a member because statements wait too long.
 
     Examples
     --------
-    >>> is_overdue(MemberQuiet(0.5, 9.0, 9.0, waiting_s=0.1))
+    >>> is_overdue(MemberSilence(0.5, 9.0, 9.0, waiting_s=0.1))
     False
-    >>> is_overdue(MemberQuiet(0.5, 9.0, 9.0, waiting_s=0.4))
+    >>> is_overdue(MemberSilence(0.5, 9.0, 9.0, waiting_s=0.4))
     True
     """
-    return quiet.waiting_s >= OVERDUE_S and is_askable(quiet)
+    return silence.waiting_s >= OVERDUE_S and may_probe(silence)
 
 
-def is_askable(quiet: MemberQuiet) -> bool:
-    """Say whether the last question to a member is long enough ago.
+def may_probe(silence: MemberSilence) -> bool:
+    """Return whether the last probe of a member is long enough ago.
 
     Examples
     --------
-    >>> is_askable(MemberQuiet(0.5, 9.0, 9.0, waiting_s=0.0))
+    >>> may_probe(MemberSilence(0.5, 9.0, 9.0, waiting_s=0.0))
     True
-    >>> is_askable(MemberQuiet(0.5, 0.1, 9.0, waiting_s=0.0))
+    >>> may_probe(MemberSilence(0.5, 0.1, 9.0, waiting_s=0.0))
     False
     """
-    return quiet.asked_s >= ASK_AGAIN_S
+    return silence.probed_s >= PROBE_INTERVAL_S
 
 
-def is_primary_due(quiet: MemberQuiet, place: int) -> bool:
-    """Say whether an idle group's primary must be asked by this VM.
+def is_primary_probe_due(silence: MemberSilence, place: int) -> bool:
+    """Return whether this VM must probe an idle group's primary.
 
     Parameters
     ----------
-    quiet : MemberQuiet
-        For how long it has been quiet.
+    silence : MemberSilence
+        How long the primary has been silent.
     place : int
-        This VM's place in the order of VMs that ask.
+        This VM's place in the order of VMs that probe, from 0.
 
     Examples
     --------
-    >>> idle = MemberQuiet(1.0, 1.0, 1.0, 0.0)
-    >>> is_primary_due(idle, place=0), is_primary_due(idle, place=1)
+    >>> idle = MemberSilence(1.0, 1.0, 1.0, 0.0)
+    >>> is_primary_probe_due(idle, 0), is_primary_probe_due(idle, 1)
     (True, False)
     """
-    quiet_s = min(quiet.answered_s, quiet.asked_s, quiet.elsewhere_s)
-    return quiet_s >= QUIET_S + QUIET_STEP_S * place
+    silence_s = min(silence.answered_s, silence.probed_s, silence.elsewhere_s)
+    return silence_s >= IDLE_PROBE_S + IDLE_PROBE_STEP_S * place
--- a/redwingpost/groups/reads.py
+++ b/redwingpost/groups/reads.py
@@ -1,11 +1,11 @@
-"""Where a read may run, and what the member must hold first.
-
-Load pattern: reads of a stated age and reads after a session's own write
-outnumber writes ten to one. All of them at the primary fill the one
-member that must take every write; at a replica without proof they show
-old data. A *sample* (``redwingpost.groups.evidence``) young enough for
-the route makes any replica that holds it good; a replica that doesn't
-says so at once.
+"""Where a read may run, and which position the member must hold.
+
+Load pattern: reads with bounded staleness and reads after a session's own
+write outnumber writes ten to one. If all of them run at the primary, they
+fill the one member that must take every write; at a replica without proof
+they may return stale data. With a *sample* (``redwingpost.groups.evidence``)
+recent enough for the route, any replica that holds its position may serve the
+read; a replica that doesn't hold it reports that at once.
 """
 
 from typing import NamedTuple
@@ -14,17 +14,18 @@
 from redwingpost.core.positions import ZERO_POSITION, Position
 from redwingpost.groups.evidence import GroupEvidence
 
-#: Part of the stated age that is not used: clocks of a suspended VM and
-#: of the caller run apart by far less.
+#: Part of the maximum staleness that is left unused: the clocks of a
+#: suspended VM and of the caller differ by far less.
 STALENESS_MARGIN = 0.05
 
 
 class ReadPlan(NamedTuple):
     """How a read may be served.
 
-    ``after`` is the position that the member must hold (None: the
-    primary needs none). ``needs_proof``: the primary's answer counts only
-    with a proof asked for after the read arrived.
+    ``after`` is the position that the member must hold, None if none is
+    required. ``replicas``: replicas may serve the read. ``needs_proof``: the
+    primary's answer counts only with a proof that was requested after the
+    read arrived.
     """
 
     after: Position | None
@@ -36,7 +37,7 @@
 
 
 def oldest_sample_time(route: RouteRule, arrived_at: float) -> float:
-    """Return since when a sample is young enough (seconds)."""
+    """Return the earliest time of a sample that is recent enough (seconds)."""
     usable_s = route.max_staleness_s * (1.0 - STALENESS_MARGIN)
     return arrived_at - usable_s
 
@@ -47,14 +48,14 @@
     written: Position,
     arrived_at: float,
 ) -> ReadPlan:
-    """Return how a read may be served by what is proven now.
+    """Return how a read may be served, by what is proven now.
 
     Parameters
     ----------
     route : RouteRule
-        Its consistency and stated age.
+        Gives the consistency and the maximum staleness.
     evidence : GroupEvidence
-        What is proven of the group.
+        What is proven about the group.
     written : Position
         The session's last acknowledged commit.
     arrived_at : float
@@ -63,8 +64,8 @@
     Returns
     -------
     ReadPlan
-        At the primary with a fresh proof where nothing younger than the
-        stated age is proven.
+        At the primary with a new proof, if there is no sample within the
+        maximum staleness.
     """
     if route.consistency is Consistency.PRIMARY:
         return AT_PRIMARY_WITH_PROOF
@@ -75,6 +76,6 @@
     after = sample.position
     if route.consistency is Consistency.READ_YOUR_WRITES:
         after = max(after, written)
-    # An empty log lacks nothing, and there is no position to wait for.
+    # For an empty log there is no position to wait for.
     wait_for = None if after == ZERO_POSITION else after
     return ReadPlan(wait_for, replicas=True, needs_proof=False)
--- a/redwingpost/groups/tests/test_choice.py
+++ b/redwingpost/groups/tests/test_choice.py
@@ -1,12 +1,12 @@
-"""Where reads go, when they are hedged, and who is listed."""
+"""Tests of the choice of members for reads, hedging and the directory."""
 
 from unittest import TestCase
 
 from redwingpost.groups.choice import Candidate, rank
-from redwingpost.groups.directory import REAPPEAR_S, Directory
+from redwingpost.groups.directory import REREGISTRATION_S, Directory
 from redwingpost.groups.latency import (
-    FORGET_S,
     HEDGE_FLOOR_S,
+    LATENCY_LIFETIME_S,
     LatencyTracker,
 )
 from redwingpost.ports.database import MemberEntry
@@ -24,7 +24,7 @@
     def test_who_comes_first(self) -> None:
         cases = (
             ("replica before primary", _REPLICA, _PRIMARY),
-            ("fast before slow", _REPLICA, _REPLICA._replace(usual_s=0.2)),
+            ("fast before slow", _REPLICA, _REPLICA._replace(smoothed_s=0.2)),
             ("idle before full", _REPLICA, _REPLICA._replace(busy=5)),
             (
                 "many slots before few",
@@ -32,11 +32,15 @@
                 _REPLICA._replace(busy=5),
             ),
             ("near before far", _REPLICA, _REPLICA._replace(is_near=False)),
-            ("open before new", _REPLICA, _REPLICA._replace(has_link=False)),
+            (
+                "open before new",
+                _REPLICA,
+                _REPLICA._replace(has_connection=False),
+            ),
             (
                 "idle primary before a slow replica",
                 _PRIMARY,
-                _REPLICA._replace(usual_s=0.3),
+                _REPLICA._replace(smoothed_s=0.3),
             ),
         )
         for name, first, second in cases:
@@ -48,19 +52,19 @@
                 self.assertEqual(["1", "2"], rank(candidates))
 
     def test_a_slow_replica_takes_a_small_part(self) -> None:
-        """One of two replicas becomes five times slower.
+        """Guards against an even spread when one of two replicas slows down.
 
-        Spread evenly, every second read would be late. Reads that wait
-        at the fast one make the slow one worth a few.
+        Every second read would be late. The slow one gets a read only when
+        enough are in flight at the fast one.
         """
-        under_way = {"fast": 0, "slow": 0}
+        in_flight = {"fast": 0, "slow": 0}
         for _ in range(12):
             candidates = [
-                Candidate("fast", 0.03, under_way["fast"], 0, *[True] * 3),
-                Candidate("slow", 0.15, under_way["slow"], 0, *[True] * 3),
+                Candidate("fast", 0.03, in_flight["fast"], 0, *[True] * 3),
+                Candidate("slow", 0.15, in_flight["slow"], 0, *[True] * 3),
             ]
-            under_way[rank(candidates)[0]] += 1
-        self.assertGreaterEqual(under_way["fast"], 11)
+            in_flight[rank(candidates)[0]] += 1
+        self.assertGreaterEqual(in_flight["fast"], 11)
 
 
 class LatencyTest(TestCase):
@@ -73,14 +77,14 @@
         self.assertGreaterEqual(tracker.late_after_s, HEDGE_FLOOR_S)
 
     def test_a_time_is_forgotten(self) -> None:
-        """A member was slow once and gets no reads any more.
+        """Guards against a member that gets no reads after one slow answer.
 
-        Without forgetting nothing would show that it has recovered.
+        Without an expiry no measurement would show that it has recovered.
         """
         tracker = LatencyTracker()
         tracker.observe(2.0, now=10.0)
-        self.assertTrue(tracker.is_known(10.0 + FORGET_S / 2))
-        self.assertFalse(tracker.is_known(10.0 + FORGET_S * 2))
+        self.assertTrue(tracker.is_known(10.0 + LATENCY_LIFETIME_S / 2))
+        self.assertFalse(tracker.is_known(10.0 + LATENCY_LIFETIME_S * 2))
 
 
 class DirectoryTest(TestCase):
@@ -89,14 +93,14 @@
         directory.put(_entry("m"), 1.0)
         directory.remove("m", 2.0)
         self.assertEqual((), directory.members_of("g"))
-        gone = [entry.member for entry in directory.lately_gone("g")]
-        self.assertEqual(["m"], gone)
+        removed = [entry.member for entry in directory.recently_removed("g")]
+        self.assertEqual(["m"], removed)
 
     def test_lapsed_entries_after_an_outage(self) -> None:
-        """The registry was away and has dropped members that live.
+        """Guards against dropping live members after a registry outage.
 
-        Taken at its word, the group would have no members, and every
-        caller would be refused although all of them run.
+        The registry has dropped members that still run. Without a grace
+        period the group would have no members and refuse every caller.
         """
         cases = (("back in time", True), ("gone", False))
         for name, comes_back in cases:
@@ -108,12 +112,12 @@
                 self.assertEqual(1, len(directory.members_of("g")))
                 if comes_back:
                     directory.put(_entry("m"), 11.0)
-                directory.expire(10.0 + REAPPEAR_S)
+                directory.expire(10.0 + REREGISTRATION_S)
                 left = len(directory.members_of("g"))
                 self.assertEqual(int(comes_back), left)
 
     def test_whom_a_removal_leaves_for_a_moment(self) -> None:
-        """Guards against an outage that no call to the registry shows."""
+        """Guards against an outage that no failed registry call shows."""
         cases = (
             ("answers", True, False, True),
             ("fails", False, False, False),
@@ -126,7 +130,7 @@
                 directory.remove("m", 2.0, answers)
                 listed = directory.members_of("g")
                 self.assertEqual(int(is_kept), len(listed))
-                directory.expire(2.0 + REAPPEAR_S)
+                directory.expire(2.0 + REREGISTRATION_S)
                 self.assertEqual((), directory.members_of("g"))
 
     def test_leaving_is_counted_from_when_it_was_first_seen(self) -> None:
@@ -137,15 +141,16 @@
         self.assertEqual(2.0, directory.get("m").draining_since)
 
     def test_leaving_that_nobody_here_saw_begin(self) -> None:
-        """A VM starts again while a member leaves, or was cut off.
+        """Guards against new work for a member that is about to exit.
 
-        Counted from when the VM heard of it, the member would get new
-        work until it exits, and what runs there then would be cut.
+        A VM restarts, or was partitioned, while a member drains. If the
+        drain time were counted from when the VM learned of it, the member
+        would get new work until it exits, and that work would be aborted.
         """
         cases = (
-            ("first seen leaving", None, None, True),
-            ("old news after an outage", 1.0, 2.9, True),
-            ("told as it happens", 1.0, None, False),
+            ("first seen draining", None, None, True),
+            ("stale list after an outage", 1.0, 2.9, True),
+            ("seen as it happens", 1.0, None, False),
             ("long after an outage", 1.0, 1.5, False),
         )
         for name, seen_at, outage_at, is_unknown in cases:
@@ -160,11 +165,11 @@
                 self.assertEqual(is_unknown, since < 0.0)
 
     def test_who_has_restarted_while_off_the_list(self) -> None:
-        """Guards against replicas distrusted only because entries lapsed."""
+        """Guards against distrusting replicas whose entries only lapsed."""
         cases = (
-            ("the same life", 5, 5, False),
-            ("another life", 5, 6, True),
-            ("unknown lives", 0, 0, True),
+            ("same start time", 5, 5, False),
+            ("other start time", 5, 6, True),
+            ("unknown start times", 0, 0, True),
         )
         for name, before, after, has_restarted in cases:
             with self.subTest(name):
@@ -175,7 +180,7 @@
                 restarted_at = directory.get("m").restarted_at
                 self.assertEqual(has_restarted, restarted_at == 3.0)
 
-    def test_another_life_under_the_same_name(self) -> None:
+    def test_a_restart_under_the_same_name(self) -> None:
         directory = Directory()
         directory.put(_entry("m", started_ms=5), 1.0)
         self.assertLess(directory.get("m").restarted_at, 0.0)
--- a/redwingpost/groups/tests/test_confirmation.py
+++ b/redwingpost/groups/tests/test_confirmation.py
@@ -1,4 +1,4 @@
-"""When a commit that a primary acknowledged may be reported as kept."""
+"""Tests of when an acknowledged commit may be reported as kept."""
 
 from unittest import TestCase
 
@@ -7,10 +7,10 @@
     FAILS_ELSEWHERE_S,
     HELD_UP_S,
     SETTLED_S,
-    LeadSigns,
+    CommitStatus,
     ReplicaAnswer,
-    Verdict,
-    judge_commit,
+    TakeoverSigns,
+    check_commit,
     needs_claim,
     needs_confirmation,
 )
@@ -20,7 +20,7 @@
 _FOLLOWS = StatusReport(False, _TERM, Position(_TERM, 9), 0, 0, 0, 1)
 _PAUSED = _FOLLOWS._replace(paused_for=_TERM + 1)
 _LEADS_NEXT = _FOLLOWS._replace(is_primary=True, term=_TERM + 1)
-_CALM = LeadSigns(False, 0.0, False, 60.0)
+_CALM = TakeoverSigns(False, 0.0, False, 60.0)
 
 
 class SignsTest(TestCase):
@@ -28,7 +28,7 @@
         cases = (
             ("calm", _CALM, False, False),
             (
-                "a replica started again",
+                "a replica restarted",
                 _CALM._replace(has_fresh_replica=True),
                 True,
                 False,
@@ -40,7 +40,7 @@
                 False,
             ),
             (
-                "the primary leaves",
+                "the primary is draining",
                 _CALM._replace(is_suspect=True),
                 False,
                 True,
@@ -59,32 +59,47 @@
                 self.assertEqual(claims, needs_claim(signs))
 
 
-class JudgeCommitTest(TestCase):
-    """Guards against commits that only a replaced primary's side has."""
+class CheckCommitTest(TestCase):
+    """Guards against keeping commits that the new primary lacks."""
 
-    def test_verdicts(self) -> None:
+    def test_statuses(self) -> None:
         trusted = ReplicaAnswer(_FOLLOWS, is_trusted=True)
         fresh = ReplicaAnswer(_FOLLOWS, is_trusted=False)
         paused = ReplicaAnswer(_PAUSED, is_trusted=True)
         leads = ReplicaAnswer(_LEADS_NEXT, is_trusted=True)
         silent = ReplicaAnswer(None, is_trusted=True)
         cases = (
-            ("a replica vouches", (trusted,), 0.0, Verdict.KEPT),
-            ("one of two vouches", (trusted, silent), 0.0, Verdict.KEPT),
-            ("only one that restarted", (fresh,), 0.0, Verdict.OPEN),
-            ("restarted, other paused", (fresh, paused), 0.0, Verdict.OPEN),
-            ("restarted, other leads", (fresh, leads), 0.0, Verdict.REPLACED),
-            ("planned change", (trusted, paused), 0.0, Verdict.KEPT),
-            ("nobody answers", (silent, silent), 0.0, Verdict.OPEN),
+            ("a replica accepts it", (trusted,), 0.0, CommitStatus.KEPT),
+            ("one of two accepts", (trusted, silent), 0.0, CommitStatus.KEPT),
+            ("only one that restarted", (fresh,), 0.0, CommitStatus.OPEN),
             (
-                "held up, and released by one that forgot its pause",
+                "restarted, other paused",
+                (fresh, paused),
+                0.0,
+                CommitStatus.OPEN,
+            ),
+            (
+                "restarted, other leads",
+                (fresh, leads),
+                0.0,
+                CommitStatus.REPLACED,
+            ),
+            ("planned change", (trusted, paused), 0.0, CommitStatus.KEPT),
+            ("none answers", (silent, silent), 0.0, CommitStatus.OPEN),
+            (
+                "held up until a replica lost its pause",
                 (trusted, paused),
                 HELD_UP_S,
-                Verdict.OPEN,
+                CommitStatus.OPEN,
+            ),
+            (
+                "held up by load",
+                (trusted, trusted),
+                HELD_UP_S,
+                CommitStatus.KEPT,
             ),
-            ("held up by load", (trusted, trusted), HELD_UP_S, Verdict.KEPT),
         )
         for name, answers, held_up_s, expected in cases:
             with self.subTest(name):
-                verdict = judge_commit(_TERM, answers, held_up_s)
-                self.assertIs(expected, verdict)
+                status = check_commit(_TERM, answers, held_up_s)
+                self.assertIs(expected, status)
--- a/redwingpost/groups/tests/test_evidence.py
+++ b/redwingpost/groups/tests/test_evidence.py
@@ -1,4 +1,4 @@
-"""What reports of members prove."""
+"""Tests of what members' reports prove, and where reads may run."""
 
 from unittest import TestCase
 
@@ -26,10 +26,11 @@
         self.evidence.note_report("p", _report(True, 3, 9), 1.0)
 
     def test_what_a_replica_proves(self) -> None:
-        """A primary was replaced and doesn't know.
+        """Guards against stale reads at a primary that was replaced.
 
-        Its reads miss what the new primary acknowledges. A replica that
-        takes nothing from it any more, or follows another, gives it away.
+        It has not noticed, so its reads miss what the new primary
+        acknowledges. A replica that no longer accepts its commits, or
+        follows another primary, proves nothing for it.
         """
         cases = (
             ("follows", _report(False, 3, 9), True),
@@ -55,22 +56,24 @@
         self.assertIsNone(self.evidence.leader)
 
     def test_a_restarted_replica_proves_nothing(self) -> None:
-        """A replica that was paused starts again and forgets the pause.
+        """Guards against a proof by a replica that lost its pause.
 
-        Its word must not vouch for the old primary.
+        A paused replica restarts. Its report must not prove that the old
+        primary still leads.
         """
         self.evidence.note_report("r", _report(False, 3, 9), 2.0)
         self.evidence.note_report("p", _report(True, 3, 9), 2.0)
-        self.evidence.conclude(2.0, provers=frozenset())
+        self.evidence.derive_proof(2.0, provers=frozenset())
         self.assertEqual(float("-inf"), self.evidence.proven_at)
-        self.evidence.conclude(2.0, provers=frozenset({"r"}))
+        self.evidence.derive_proof(2.0, provers=frozenset({"r"}))
         self.assertEqual(2.0, self.evidence.proven_at)
 
     def test_samples_of_an_earlier_term_are_dropped(self) -> None:
-        """A promotion rolls back what nobody acknowledged.
+        """Guards against reads that wait for a rolled-back position.
 
-        A sample may name such a position; replicas would refuse every
-        read that waits for it.
+        A promotion rolls back commits that were never acknowledged. A sample
+        may name such a position, and replicas would refuse every read that
+        waits for it.
         """
         self.evidence.note_commit("p", Position(3, 12), 2.0)
         self.assertIsNotNone(self.evidence.sample_since(1.0))
@@ -78,11 +81,11 @@
         self.assertIsNone(self.evidence.sample_since(1.0))
 
     def test_what_a_successor_must_hold(self) -> None:
-        """A primary crashes for good while one replica is deaf.
+        """Guards against promoting a replica that lacks acknowledged writes.
 
-        The other leads now and has committed nothing yet. If it is
-        replaced by the deaf one, every write of the deaf time is lost,
-        although its caller was told that it is kept.
+        A primary crashes permanently while one replica receives nothing.
+        The other replica leads now and has committed nothing yet. If the
+        lagging one replaces it, all writes that it missed are lost.
         """
         began_with = _report(True, 4, 30)
         began_with = began_with._replace(received=Position(3, 30))
--- a/redwingpost/groups/tests/test_questions.py
+++ b/redwingpost/groups/tests/test_questions.py
@@ -1,16 +1,16 @@
-"""When members are asked whether they live."""
+"""Tests of when members are probed."""
 
 from unittest import TestCase
 
 from redwingpost.groups.questions import (
-    ASK_AGAIN_S,
+    IDLE_PROBE_S,
+    IDLE_PROBE_STEP_S,
     OVERDUE_S,
-    QUIET_S,
-    QUIET_STEP_S,
-    MemberQuiet,
-    alert_round_s,
+    PROBE_INTERVAL_S,
+    MemberSilence,
+    alert_interval_s,
     is_overdue,
-    is_primary_due,
+    is_primary_probe_due,
 )
 
 _NEVER = float("inf")
@@ -18,49 +18,60 @@
 
 class QuestionsTest(TestCase):
     def test_statements_that_wait_in_vain(self) -> None:
-        """A cut drops what is sent to a member.
+        """Guards against callers that wait for their whole timeout.
 
-        Callers wait for their whole time limit before anybody looks.
+        A network partition drops what is sent to a member, and no VM probes
+        it before then.
         """
         cases = (
             ("nothing waits", 5.0, 0.0, False),
             ("waits as usual", 5.0, OVERDUE_S / 2.0, False),
             ("waits too long", 5.0, OVERDUE_S, True),
-            ("asked just now", ASK_AGAIN_S / 2.0, 5.0, False),
-            ("asked before", ASK_AGAIN_S, 5.0, True),
+            ("probed just now", PROBE_INTERVAL_S / 2.0, 5.0, False),
+            ("probed before", PROBE_INTERVAL_S, 5.0, True),
         )
-        for name, asked_s, waiting_s, expected in cases:
+        for name, probed_s, waiting_s, expected in cases:
             with self.subTest(name):
-                quiet = MemberQuiet(5.0, asked_s, _NEVER, waiting_s)
-                self.assertEqual(expected, is_overdue(quiet))
+                silence = MemberSilence(5.0, probed_s, _NEVER, waiting_s)
+                self.assertEqual(expected, is_overdue(silence))
 
-    def test_one_vm_asks_for_all(self) -> None:
-        """A group has no callers for a while.
+    def test_one_vm_probes_for_all(self) -> None:
+        """Guards against probes of an idle group's primary by every VM.
 
-        Asked by every VM, its primary would answer more questions than
-        it ever does statements.
+        The primary would answer more probes than it ever runs statements.
         """
-        late = QUIET_S + QUIET_STEP_S
+        late = IDLE_PROBE_S + IDLE_PROBE_STEP_S
         cases = (
-            ("answered lately", 0.1, _NEVER, 0, False),
-            ("answered another VM lately", _NEVER, 0.1, 0, False),
-            ("first in turn", QUIET_S, QUIET_S, 0, True),
-            ("second leaves it to the first", QUIET_S, QUIET_S, 1, False),
+            ("answered recently", 0.1, _NEVER, 0, False),
+            ("answered another VM recently", _NEVER, 0.1, 0, False),
+            ("first VM in order", IDLE_PROBE_S, IDLE_PROBE_S, 0, True),
+            (
+                "second leaves it to the first",
+                IDLE_PROBE_S,
+                IDLE_PROBE_S,
+                1,
+                False,
+            ),
             ("the first didn't", late, late, 1, True),
         )
         for name, answered_s, elsewhere_s, place, expected in cases:
             with self.subTest(name):
-                quiet = MemberQuiet(answered_s, _NEVER, elsewhere_s, 0.0)
-                self.assertEqual(expected, is_primary_due(quiet, place))
+                silence = MemberSilence(answered_s, _NEVER, elsewhere_s, 0.0)
+                self.assertEqual(
+                    expected, is_primary_probe_due(silence, place)
+                )
 
-    def test_how_many_ask_while_something_looks_wrong(self) -> None:
-        """A primary of a fleet of 200 VMs fails, or is only full.
+    def test_how_many_probe_a_suspect_group(self) -> None:
+        """Guards against members that answer nothing but probes.
 
-        If all asked its group four times a second, the members would
-        answer nothing else, and look lost to more and more VMs.
+        In a fleet of 200 VMs a primary fails, or is only full. If all VMs
+        probed its group four times a second, the members would seem lost to
+        more and more VMs.
         """
-        for vms, most_a_second in ((7, 28.0), (62, 50.0), (200, 100.0)):
+        for vms, max_per_s in ((7, 28.0), (62, 50.0), (200, 100.0)):
             with self.subTest(vms=vms):
-                a_second = sum(1.0 / alert_round_s(n) for n in range(vms))
-                self.assertLessEqual(a_second, most_a_second)
-                self.assertGreaterEqual(a_second, 28.0)
+                probes_per_s = sum(
+                    1.0 / alert_interval_s(place) for place in range(vms)
+                )
+                self.assertLessEqual(probes_per_s, max_per_s)
+                self.assertGreaterEqual(probes_per_s, 28.0)
--- a/redwingpost/node/group.py
+++ b/redwingpost/node/group.py
@@ -16,12 +16,12 @@
 from redwingpost.groups.directory import Directory
 from redwingpost.groups.evidence import GroupEvidence
 from redwingpost.groups.questions import (
-    ALERT_ROUND_S,
-    MemberQuiet,
-    alert_round_s,
-    is_askable,
+    ALERT_INTERVAL_S,
+    MemberSilence,
+    alert_interval_s,
     is_overdue,
-    is_primary_due,
+    is_primary_probe_due,
+    may_probe,
 )
 from redwingpost.membership.centres import CentreWatch
 from redwingpost.membership.hearing import VmTable
@@ -243,13 +243,13 @@
     def _round_pause_s(self, now: float) -> float:
         if self.evidence.term and not self.is_alert():
             return ROUND_S
-        pause_s = alert_round_s(self.place(now))
+        pause_s = alert_interval_s(self.place(now))
         return pause_s if self.evidence.term else max(pause_s, FIRST_ROUND_S)
 
     def _is_question_due(
         self, member: str, client: MemberClient, now: float
     ) -> bool:
-        quiet = MemberQuiet(
+        quiet = MemberSilence(
             now - client.answered_at,
             now - client.asked_at,
             self._vms.reached_elsewhere_s(member, now),
@@ -258,10 +258,10 @@
         if is_overdue(quiet):
             return True
         if self._centres.is_suspect(client.entry.data_centre):
-            return is_askable(quiet)
+            return may_probe(quiet)
         if member != self.evidence.leader:
             return False
-        return is_primary_due(quiet, self.place(now))
+        return is_primary_probe_due(quiet, self.place(now))
 
     def note_shared(
         self, member: str, position: Position, taken_at: float
@@ -270,7 +270,7 @@
         if position.term > self.evidence.term:
             # Another VM knows of a newer primary: ask now.
             self.round_at = min(
-                self.round_at, self._clock.now() - ROUND_S + ALERT_ROUND_S
+                self.round_at, self._clock.now() - ROUND_S + ALERT_INTERVAL_S
             )
             return
         self.evidence.note_shared(member, position, taken_at)
@@ -298,7 +298,7 @@
 
     def note_refused_as_replica(self, client: MemberClient) -> None:
         """Note that a member refused a write as no primary."""
-        self.evidence.disavow(client.entry.member)
+        self.evidence.note_not_primary(client.entry.member)
         self.writes.clear_stuck()
         self._settle()
 
@@ -368,19 +368,19 @@
             for name in self.member_by_name
             if self.proofs.is_trusted(name, now)
         )
-        self.evidence.conclude(asked_at, provers)
+        self.evidence.derive_proof(asked_at, provers)
         self._settle()
 
     def _note_stall(self) -> None:
         leader = self.evidence.leader
-        heard = self.evidence.heard(leader) if leader else None
+        heard = self.evidence.last_report(leader) if leader else None
         if heard is None:
             return
         replicas = [
             other.report.received
             for name in self.member_by_name
             if name != leader
-            and (other := self.evidence.heard(name)) is not None
+            and (other := self.evidence.last_report(name)) is not None
             and other.asked_at >= self.round_at
         ]
         head = heard.report.received
@@ -389,7 +389,7 @@
 
     def _note_pauses(self) -> None:
         is_paused = any(
-            (heard := self.evidence.heard(name)) is not None
+            (heard := self.evidence.last_report(name)) is not None
             and heard.report.paused_for > self.evidence.term
             for name in self.member_by_name
         )
--- a/redwingpost/node/lead_proofs.py
+++ b/redwingpost/node/lead_proofs.py
@@ -4,12 +4,12 @@
 from collections.abc import Callable
 
 from redwingpost.groups.confirmation import (
-    LeadSigns,
     ReplicaAnswer,
+    TakeoverSigns,
     needs_claim,
 )
 from redwingpost.groups.directory import Directory
-from redwingpost.groups.evidence import FRESH_START_S, GroupEvidence
+from redwingpost.groups.evidence import RECENT_RESTART_S, GroupEvidence
 from redwingpost.membership.hearing import VmTable
 from redwingpost.node.member import MemberClient
 from redwingpost.node.prover import SharedProof
@@ -70,7 +70,7 @@
         """Say whether the primary led at some moment after this call."""
         return await self._proof.get()
 
-    def signs(self) -> LeadSigns:
+    def signs(self) -> TakeoverSigns:
         """Return the signs that a takeover may be under way."""
         now = self._clock.now()
         leader = self._evidence.leader or ""
@@ -79,7 +79,7 @@
             for health in self._vms.health_of(leader, now)
             for ms in health.failing_ms
         )
-        return LeadSigns(
+        return TakeoverSigns(
             any(self._is_fresh(name, now) for name in self._replicas()),
             max(failing_ms, default=0) / 1000.0,
             self._is_alert() or self._vms.is_any_write_stuck(now),
@@ -183,7 +183,7 @@
         listed = self._directory.get(member)
         if listed is None:
             return False
-        return now - listed.restarted_at <= FRESH_START_S
+        return now - listed.restarted_at <= RECENT_RESTART_S
 
     def _trusted_in_s(self, member: str, now: float) -> float:
         """Return after how long a replica's word counts (seconds)."""
@@ -192,4 +192,4 @@
         listed = self._directory.get(member)
         if listed is None:
             return NO_REPLICA_S
-        return listed.restarted_at + FRESH_START_S - now
+        return listed.restarted_at + RECENT_RESTART_S - now
--- a/redwingpost/node/request/commits.py
+++ b/redwingpost/node/request/commits.py
@@ -6,8 +6,8 @@
 from redwingpost.core.positions import Position
 from redwingpost.groups.confirmation import (
     HELD_UP_S,
-    Verdict,
-    judge_commit,
+    CommitStatus,
+    check_commit,
     needs_confirmation,
 )
 from redwingpost.node.group import GroupClient
@@ -47,7 +47,7 @@
     signs = group.proofs.signs()
     if needs_confirmation(signs) or not _leads(group, leader, commit):
         verdict = await _ask_until_clear(group, leader, commit, clock)
-        if verdict is not Verdict.KEPT:
+        if verdict is not CommitStatus.KEPT:
             log_event(
                 "commit-unconfirmed",
                 request=commit.request,
@@ -67,7 +67,7 @@
     leader: MemberClient,
     commit: AcknowledgedCommit,
     clock: Clock,
-) -> Verdict:
+) -> CommitStatus:
     held_up_s = clock.now() - commit.sent_at
     term = group.evidence.term
     if commit.position is not None:
@@ -76,12 +76,12 @@
         if held_up_s < HELD_UP_S and await group.prove():
             # The proof is of whoever is known to lead by now.
             if _leads(group, leader, commit):
-                return Verdict.KEPT
+                return CommitStatus.KEPT
         answers = await group.proofs.ask_replicas(leader.entry.member)
-        verdict = judge_commit(term, answers, held_up_s)
-        if verdict is Verdict.REPLACED and _is_in_new_log(group, commit):
-            return Verdict.KEPT
-        if verdict is not Verdict.OPEN or clock.now() >= commit.deadline:
+        verdict = check_commit(term, answers, held_up_s)
+        if verdict is CommitStatus.REPLACED and _is_in_new_log(group, commit):
+            return CommitStatus.KEPT
+        if verdict is not CommitStatus.OPEN or clock.now() >= commit.deadline:
             return verdict
         await sleep(ASK_AGAIN_S)
 
--- a/redwingpost/node/request/placing.py
+++ b/redwingpost/node/request/placing.py
@@ -4,7 +4,7 @@
 
 from redwingpost.groups.choice import (
     ASSUMED_SLOTS,
-    FIRST_GUESS_S,
+    INITIAL_LATENCY_S,
     Candidate,
     rank,
 )
@@ -36,11 +36,11 @@
     """
     # A member whose time isn't known counts as the best that is.
     known_s = [
-        client.latency.usual_s
+        client.latency.smoothed_s
         for client in clients
         if client.latency.is_known(placing.now)
     ]
-    best_s = min(known_s, default=FIRST_GUESS_S)
+    best_s = min(known_s, default=INITIAL_LATENCY_S)
     client_by_member = {client.entry.member: client for client in clients}
     candidates = [
         _candidate(client, evidence, placing, best_s) for client in clients
@@ -55,10 +55,10 @@
     best_s: float,
 ) -> Candidate:
     is_known = client.latency.is_known(placing.now)
-    heard = evidence.heard(client.entry.member)
+    heard = evidence.last_report(client.entry.member)
     return Candidate(
         client.entry.member,
-        client.latency.usual_s if is_known else best_s,
+        client.latency.smoothed_s if is_known else best_s,
         client.under_way,
         heard.report.busy if heard is not None else 0,
         client.pool.has_idle(placing.organisation),
--- a/redwingpost/node/request/reads.py
+++ b/redwingpost/node/request/reads.py
@@ -14,7 +14,7 @@
 from redwingpost.core.positions import Position
 from redwingpost.core.requests import Refusal
 from redwingpost.core.statements import Answer, Statement
-from redwingpost.groups.choice import BEHIND_PAUSE_S
+from redwingpost.groups.choice import LAGGING_PAUSE_S
 from redwingpost.groups.reads import ReadPlan, plan_read
 from redwingpost.node.group import GroupClient
 from redwingpost.node.member import MemberClient, is_good
@@ -214,7 +214,7 @@
             return NoAnswer("no answer in time")
         if isinstance(outcome, Reply) and outcome.failure is not None:
             if outcome.failure.kind is FailureKind.BEHIND:
-                client.behind_until = self._clock.now() + BEHIND_PAUSE_S
+                client.behind_until = self._clock.now() + LAGGING_PAUSE_S
         return outcome
 
     def _patience(
--- a/redwingpost/node/request/transaction.py
+++ b/redwingpost/node/request/transaction.py
@@ -13,7 +13,7 @@
 from redwingpost.core.positions import Position
 from redwingpost.core.requests import Refusal
 from redwingpost.core.statements import Answer, Statement, StatementKind
-from redwingpost.groups.choice import BEHIND_PAUSE_S
+from redwingpost.groups.choice import LAGGING_PAUSE_S
 from redwingpost.groups.reads import oldest_sample_time
 from redwingpost.node.group import GroupClient
 from redwingpost.node.member import MemberClient, is_good
@@ -266,7 +266,7 @@
             client.under_way += 1
             return None
         if outcome.failure.kind is FailureKind.BEHIND:
-            client.behind_until = self._clock.now() + BEHIND_PAUSE_S
+            client.behind_until = self._clock.now() + LAGGING_PAUSE_S
         if outcome.in_transaction:
             client.discard(item)
         else:
--- a/redwingpost/node/service.py
+++ b/redwingpost/node/service.py
@@ -8,7 +8,7 @@
 
 from redwingpost.adapters.http_pages import Page, PageServer
 from redwingpost.core.requests import Refusal
-from redwingpost.groups.directory import REAPPEAR_S, Directory
+from redwingpost.groups.directory import REREGISTRATION_S, Directory
 from redwingpost.membership.centres import CentreWatch
 from redwingpost.membership.gathering import Gathering
 from redwingpost.membership.hearing import VmTable
@@ -123,7 +123,7 @@
         self.settings = settings
         self.metrics = NodeMetrics()
         self.directory = Directory(
-            min(REAPPEAR_S, settings.drain_s * DRAIN_PART)
+            min(REREGISTRATION_S, settings.drain_s * DRAIN_PART)
         )
         self.group_by_name: dict[str, GroupClient] = {}
         self.is_stopping = False
--- a/redwingpost/node/takeover/conductor.py
+++ b/redwingpost/node/takeover/conductor.py
@@ -136,7 +136,7 @@
     def _find_clients(self) -> dict[str, MemberClient]:
         """Return all members whose logs may matter, and any just gone."""
         clients = dict(self._group.member_by_name)
-        gone = self._directory.lately_gone(self._group.name)
+        gone = self._directory.recently_removed(self._group.name)
         for entry in (*self._known.member_by_name.values(), *gone):
             if entry.member not in clients:
                 clients[entry.member] = MemberClient(
--- a/redwingpost/node/takeover/rosters.py
+++ b/redwingpost/node/takeover/rosters.py
@@ -200,7 +200,9 @@
                 self._pending_by_group[group.name] = pending
             return False
         await group.fresh_round()
-        heard = [group.evidence.heard(name) for name in group.member_by_name]
+        heard = [
+            group.evidence.last_report(name) for name in group.member_by_name
+        ]
         reports = tuple(item.report if item else None for item in heard)
         if not is_held_by_all(pending.position, reports):
             return False
@@ -212,7 +214,7 @@
     ) -> Position | None:
         asked_at = self._clock.now()
         await group.fresh_round()
-        heard = group.evidence.heard(group.evidence.leader or "")
+        heard = group.evidence.last_report(group.evidence.leader or "")
         if heard is None or heard.asked_at < asked_at:
             return None
         return heard.report.received
--- a/redwingpost/node/tests/test_quota.py
+++ b/redwingpost/node/tests/test_quota.py
@@ -14,7 +14,7 @@
 from redwingpost.core.positions import Position
 from redwingpost.core.statements import Statement, StatementKind
 from redwingpost.groups.directory import Directory
-from redwingpost.groups.evidence import FRESH_START_S
+from redwingpost.groups.evidence import RECENT_RESTART_S
 from redwingpost.membership.centres import CentreWatch
 from redwingpost.membership.hearing import VmTable
 from redwingpost.node.group import GroupClient
@@ -146,7 +146,7 @@
                 statement = Statement(str(number), kind, "READ a")
                 told = await session.run(statement)
                 self.assertIs(Outcome.NOT_RUN, told.code.outcome)
-                left_s = FRESH_START_S - self.clock.now()
+                left_s = RECENT_RESTART_S - self.clock.now()
                 self.assertAlmostEqual(left_s * 1000, told.retry_after_ms)
         self.assertEqual([], self.members.run_requests)
 
--- a/redwingpost/verify/takeover.py
+++ b/redwingpost/verify/takeover.py
@@ -19,10 +19,10 @@
 from redwingpost.groups.confirmation import (
     FAILS_ELSEWHERE_S,
     SETTLED_S,
-    LeadSigns,
+    CommitStatus,
     ReplicaAnswer,
-    Verdict,
-    judge_commit,
+    TakeoverSigns,
+    check_commit,
     needs_confirmation,
 )
 from redwingpost.ports.database import MemberEntry, StatusReport
@@ -252,7 +252,7 @@
         """
         if not self._rules.confirms_commits:
             return False
-        signs = LeadSigns(
+        signs = TakeoverSigns(
             any(member.has_restarted for member in state.members),
             0.0 if primary.is_reachable else FAILS_ELSEWHERE_S,
             is_suspect=False,
@@ -263,7 +263,7 @@
     def _writer_steps(self, state: TakeoverState) -> Iterator[Step]:
         for item in state.pending:
             answers = self._answers_for(state, item.primary)
-            if judge_commit(item.commit[1], answers) is Verdict.KEPT:
+            if check_commit(item.commit[1], answers) is CommitStatus.KEPT:
                 following = state._replace(pending=state.pending - {item})
                 yield (
                     f"commit {item.commit[0]} is confirmed",
