--- a/redwingpost/proxy/replica_choice.py
+++ b/redwingpost/proxy/replica_choice.py
@@ -16,8 +16,8 @@
     POLICIES,
     Candidate,
     holds,
+    is_recent_enough,
     is_trusted,
-    is_young,
     may_wait,
 )
 
@@ -129,7 +129,7 @@
         stated_ms = request.marks.max_staleness_ms
         if stated_ms:
             known_for_s = self._clock.now() - observed.asked_at
-            return is_young(observed.status, known_for_s, stated_ms)
+            return is_recent_enough(observed.status, known_for_s, stated_ms)
         if request.after is None:
             return False
         return holds(observed.status, request.after)
--- a/redwingpost/routing/homes.py
+++ b/redwingpost/routing/homes.py
@@ -1,21 +1,21 @@
-"""Choose the VMs that hold connections to a group's members.
-
-Load pattern: a member takes 32 or 50 connections from all VMs together.
-Six VMs share them; 1,000 VMs can't, and their status polls alone would
-be 1,000 times 3,900 members. Each group therefore has a few *home* VMs
-that connect to its members; every other VM forwards a statement to one
-of them, one hop more within the group's data centres.
-
-Without it, the first 32 VMs to come would hold all connections, and the
-callers of the rest would be refused while the targets stand idle.
-
-Grounds: ``HOMES`` is six, as many VMs as each user runs today, so that
-nothing is forwarded at that size; six homes with five connections to a
-member fill its five slots six times over and stay below 32. Homes are
-picked by rendezvous hashing (Thaler and Ravishankar, 1998), without a
-message; two VMs with different lists for some seconds forward to
-different homes, which costs connections but breaks no promise, since
-every home proves positions and terms itself.
+"""Choice of the VMs that hold connections to a group's members.
+
+Load pattern: a member accepts 32 or 50 connections from all VMs together.
+Six VMs can share them; 1,000 VMs can't, and their status polls alone would
+be 1,000 times 3,900 members. So each group has a few *home* VMs that connect
+to its members. Every other VM forwards a statement to one of them, at the
+cost of one more hop within the group's data centres.
+
+Without homes, the first 32 VMs to connect would hold all connections, and
+callers of the other VMs would be refused while the targets are idle.
+
+``DEFAULT_HOMES`` is six, the number of VMs of present installations, so that
+nothing is forwarded at that size. Six homes with five connections each to a
+member fill its five slots six times over and stay below 32. Homes are chosen
+by rendezvous hashing (Thaler and Ravishankar, 1998), without messages. Two
+VMs whose lists differ for some seconds forward to different homes. This costs
+connections but no consistency, since each home proves positions and terms
+itself.
 """
 
 from collections.abc import Iterable, Sequence
@@ -25,82 +25,82 @@
 
 from redwingpost.core import VmAddress
 
-#: VMs that hold connections to one group's members.
-HOMES = 6
+#: Default number of VMs that hold connections to one group's members.
+DEFAULT_HOMES = 6
 
 
-#: Homes of a group at least: all VMs of a small fleet, and enough that the
-#: loss of a data centre leaves several, each with few organisations.
+#: Minimum number of a group's homes: all VMs of a small fleet, and enough that
+#: the loss of a data centre leaves several, each with few organisations.
 MIN_HOMES = 12
 
-#: Connections of a member that nobody plans on: those of VMs that are gone
-#: linger there for seconds.
-RESERVE = 2
+#: Connections of a member that are not planned for use: those of VMs that are
+#: gone remain open there for seconds.
+RESERVED_CONNECTIONS = 2
 
 
-class Place(Protocol):
+class VmPlacement(Protocol):
     """A VM with its name and its data centre."""
 
     @property
     def vm(self) -> str:
-        """Its name."""
+        """Name of the VM."""
 
     @property
     def data_centre(self) -> str:
-        """Where it stands."""
+        """Data centre of the VM."""
 
 
-PlaceT = TypeVar("PlaceT", bound=Place)
+VmT = TypeVar("VmT", bound=VmPlacement)
 
 
 class ForwardTarget(NamedTuple):
-    """A home VM to forward to, and whether it is in our data centre."""
+    """A home VM to forward to, and whether it is in this data centre."""
 
     vm: VmAddress
     is_near: bool
 
 
 def count_homes(connections: int, slots: int, organisations: int) -> int:
-    """Return how many homes a group has, where there are as many VMs.
+    """Return how many homes a group needs, if there are enough VMs.
 
-    Each organisation should find a connection of its own at each member,
-    and each home needs as many besides as the member has slots, for those
-    that ask much, and one for its questions. More homes share the work of
-    a group; with more than this, connections are opened for statements
-    again and again.
+    Each organisation should have a connection of its own to each member.
+    Besides, each home needs as many connections as the member has slots, for
+    organisations with many statements, and one for its probes. More homes
+    spread the work of a group, but with more than this number connections are
+    opened anew for statements all the time.
 
     Parameters
     ----------
     connections : int
-        That each member takes, from all VMs together.
+        Connections that each member accepts, from all VMs together.
     slots : int
         Statements that a member runs at once.
     organisations : int
-        With callers.
+        Organisations with callers.
 
     Examples
     --------
     >>> count_homes(75, 6, 73), count_homes(270, 6, 79)
     (12, 27)
     """
-    spare = connections - RESERVE - organisations
+    spare = connections - RESERVED_CONNECTIONS - organisations
     return max(MIN_HOMES, spare // (slots + 1))
 
 
 def order_homes(
-    group: str, organisation: str, homes: Iterable[PlaceT]
-) -> tuple[PlaceT, ...]:
+    group: str, organisation: str, homes: Iterable[VmT]
+) -> tuple[VmT, ...]:
     """Return a group's homes in the order in which to try them.
 
-    An organisation keeps to one home, whichever VM its callers reach: there
-    it finds connections of its own.
+    The order depends on the organisation only, so that its statements use the
+    same home, and the connections open there, whichever VM its callers reach.
 
     Parameters
     ----------
     group : str
         Name of the database group.
     organisation : str
-        Whose statement is to run.
+        Organisation whose statement is to run.
     homes : iterable
         The group's homes.
     """
@@ -109,32 +109,32 @@
     return tuple(ranked)
 
 
-def _score(group: str, vm: Place) -> int:
-    return xxh64_intdigest(f"home\0{group}\0{vm.vm}".encode())
+def _score(subject: str, vm: VmPlacement) -> int:
+    return xxh64_intdigest(f"home\0{subject}\0{vm.vm}".encode())
 
 
 def choose_homes(
     group: str,
     data_centres: Iterable[str],
-    vms: Iterable[PlaceT],
-    limit: int = HOMES,
-) -> tuple[PlaceT, ...]:
+    vms: Iterable[VmT],
+    limit: int = DEFAULT_HOMES,
+) -> tuple[VmT, ...]:
     """Return the home VMs of a group, best first.
 
-    VMs in the data centres of the group's members come first, one of
-    each data centre in turn, so that a home is near to every member and
-    the loss of a data centre leaves homes in the others.
+    VMs in the data centres of the group's members come first, one of each
+    data centre at a time, so that a home is near every member and the loss of
+    a data centre leaves homes in the others.
 
     Parameters
     ----------
     group : str
         Name of the database group.
     data_centres : iterable of str
-        Where the group's members are.
+        Data centres of the group's members.
     vms : iterable
-        The VMs believed alive.
+        VMs that count as alive.
     limit : int, optional
-        How many to choose at most.
+        Maximum number of homes.
 
     Examples
     --------
@@ -146,33 +146,35 @@
     >>> sorted(vm.data_centre for vm in homes)
     ['dc-0', 'dc-0', 'dc-1', 'dc-1']
     """
-    wanted = frozenset(data_centres)
-    turns_by_data_centre: dict[str, int] = {}
-    placed = []
+    preferred = frozenset(data_centres)
+    count_by_data_centre: dict[str, int] = {}
+    ranked = []
     for vm in sorted(vms, key=lambda vm: (-_score(group, vm), vm.vm)):
-        turn = turns_by_data_centre.get(vm.data_centre, 0)
-        turns_by_data_centre[vm.data_centre] = turn + 1
-        placed.append((vm.data_centre not in wanted, turn, len(placed), vm))
-    placed.sort(key=lambda entry: entry[:3])
-    return tuple(entry[3] for entry in placed[:limit])
+        count = count_by_data_centre.get(vm.data_centre, 0)
+        count_by_data_centre[vm.data_centre] = count + 1
+        ranked.append(
+            (vm.data_centre not in preferred, count, len(ranked), vm)
+        )
+    ranked.sort(key=lambda entry: entry[:3])
+    return tuple(entry[3] for entry in ranked[:limit])
 
 
 def choose_forward_targets(
     homes: Sequence[VmAddress], data_centre: str, session: str
 ) -> tuple[ForwardTarget, ...]:
-    """Return homes in the order in which to try them.
+    """Return a group's homes in the order in which to try them.
 
-    Homes in the caller's data centre first. Within these a session keeps
-    to one home, whose warm connections and known positions then serve it.
+    Homes in this VM's data centre come first. Among them a session always
+    gets the same one first, which has open connections and known positions.
 
     Parameters
     ----------
     homes : sequence of VmAddress
         The group's homes.
     data_centre : str
-        Where the forwarding VM is.
+        Data centre of the forwarding VM.
     session : str
-        What to spread by: organisation and session.
+        Key by which sessions are spread: organisation and session.
     """
     ranked = sorted(homes, key=lambda vm: (-_score(session, vm), vm.vm))
     near = [vm for vm in ranked if vm.data_centre == data_centre]
--- a/redwingpost/routing/policies.py
+++ b/redwingpost/routing/policies.py
@@ -1,14 +1,13 @@
-"""Choose a member for a read, among those proven fresh enough.
+"""Policies that choose a member for a read, among those recent enough.
 
-Load pattern: three members, one of them slow, far or busy with long
-jobs, seen by many proxies at once. With a fixed order the first replica
-takes all reads; choosing the least loaded one makes all proxies choose
-the same.
+Load pattern: three members, one of them slow, far or busy with long jobs,
+used by many proxies at once. With a fixed order the first replica takes all
+reads; if all proxies choose the least loaded member, they choose the same
+one.
 
-The score of affinity against load is the related paper's (RcLLM,
-section III-C1: affinity minus load, each with a factor): affinity here
-is nearness and a warm connection, load the requests outstanding over the
-limit.
+The score of affinity against load follows RcLLM (section III-C1: affinity
+minus load, each with a factor). Affinity here is nearness and a warm
+connection; load is the number of outstanding requests over the limit.
 """
 
 from collections.abc import Callable, Sequence
@@ -17,17 +16,18 @@
 
 from redwingpost.core import Registry
 
-#: Seconds to open a connection, by both users' figures.
+#: Seconds to open a connection, as in present installations.
 CONNECT_S = 0.012
 
 
 class Candidate(NamedTuple):
-    """A member that may serve a read, as this VM sees it.
+    """A member that may serve a read, as seen from this VM.
 
-    ``service_s`` and ``distance_s`` are seconds; ``outstanding`` is the
-    cost in flight and queued, ``limit`` the statements that may be in
-    flight; ``share`` is the part of its usual load that a returning
-    member may have, above 0.
+    ``service_s`` is its service time and ``distance_s`` the round trip to it
+    (seconds). ``outstanding`` is the cost in flight and queued, ``limit`` the
+    number of statements that may be in flight. ``warm``: a connection is
+    open. ``share`` is the part of its usual load that a returning member may
+    have, above 0.
     """
 
     member: str
@@ -40,7 +40,7 @@
 
     @property
     def expected_s(self) -> float:
-        """Return the seconds until an answer, about."""
+        """Return the expected response time (seconds)."""
         rounds = 1.0 + self.outstanding / max(1, self.limit)
         opening_s = 0.0 if self.warm else CONNECT_S
         busy_s = rounds * self.service_s / self.share
@@ -52,19 +52,19 @@
 #: Policies by name.
 POLICIES: Registry[Policy] = Registry("routing policy")
 
-#: Factors of the affinity score. Nearness decides between members that
-#: are equally loaded; a full member loses to an idle one far away.
-AFFINITY = 0.3
-LOAD = 1.0
+#: Weights of the affinity score. Nearness decides between members that are
+#: equally loaded; a full member loses to an idle one far away.
+AFFINITY_WEIGHT = 0.3
+LOAD_WEIGHT = 1.0
 
-#: Worth of a warm connection in the affinity: one costs 12 ms, about
-#: half a page view.
-WARM = 0.5
+#: Part of the affinity for a warm connection: opening one takes 12 ms, about
+#: half as long as a page view.
+WARM_CONNECTION_AFFINITY = 0.5
 
 
 @POLICIES.register("first")
 def choose_first(candidates: Sequence[Candidate], random: Random) -> Candidate:
-    """Return the first candidate: what a naive proxy does."""
+    """Return the first candidate, the baseline of a fixed order."""
     return candidates[0]
 
 
@@ -80,7 +80,7 @@
 def choose_power_of_two(
     candidates: Sequence[Candidate], random: Random
 ) -> Candidate:
-    """Return the one of two random candidates that answers sooner.
+    """Return the faster of two random candidates, by expected time.
 
     After Mitzenmacher, "The Power of Two Choices in Randomized Load
     Balancing", 2001.
@@ -95,13 +95,13 @@
 def choose_affinity_load(
     candidates: Sequence[Candidate], random: Random
 ) -> Candidate:
-    """Return the candidate with the best affinity against load."""
+    """Return the candidate with the best score of affinity against load."""
 
     def score(candidate: Candidate) -> float:
         near = 1.0 / (1.0 + 1000.0 * candidate.distance_s)
-        affinity = near + (WARM if candidate.warm else 0.0)
+        affinity = near + (WARM_CONNECTION_AFFINITY if candidate.warm else 0.0)
         load = candidate.outstanding / max(1, candidate.limit)
-        return AFFINITY * affinity - LOAD * load
+        return AFFINITY_WEIGHT * affinity - LOAD_WEIGHT * load
 
     return max(candidates, key=lambda c: (score(c), random.random()))
 
@@ -110,5 +110,5 @@
 def choose_expected_time(
     candidates: Sequence[Candidate], random: Random
 ) -> Candidate:
-    """Return the candidate that answers soonest; ties at random."""
+    """Return the candidate with the least expected time; ties at random."""
     return min(candidates, key=lambda c: (c.expected_s, random.random()))
--- a/redwingpost/routing/tests/test_homes.py
+++ b/redwingpost/routing/tests/test_homes.py
@@ -5,7 +5,7 @@
 
 from redwingpost.core import VmAddress
 from redwingpost.routing.homes import (
-    HOMES,
+    DEFAULT_HOMES,
     choose_forward_targets,
     choose_homes,
 )
@@ -55,7 +55,7 @@
             centres = (f"dc-{number % 14}", f"dc-{(number + 1) % 14}")
             for vm in choose_homes(f"g-{number}", centres, vms):
                 counts[vm.vm] += 1
-        self.assertEqual(sum(counts.values()), 260 * HOMES)
+        self.assertEqual(sum(counts.values()), 260 * DEFAULT_HOMES)
         self.assertLess(max(counts.values()), 3 * 7.8)
 
 
--- a/redwingpost/routing/tests/test_routing.py
+++ b/redwingpost/routing/tests/test_routing.py
@@ -1,11 +1,16 @@
-"""Routing of reads: proofs, policies, waiting."""
+"""Tests of the routing of reads: proofs and policies."""
 
 from random import Random
 from unittest import TestCase
 
 from redwingpost.core import GroupView, Position
 from redwingpost.ports import MemberStatus
-from redwingpost.routing import POLICIES, Candidate, is_trusted, is_young
+from redwingpost.routing import (
+    POLICIES,
+    Candidate,
+    is_recent_enough,
+    is_trusted,
+)
 
 VIEW = GroupView("plans", 3, "m-1", ())
 
@@ -18,10 +23,11 @@
 
 
 class FreshnessTest(TestCase):
-    def test_whom_to_believe(self):
-        """A primary that was replaced comes back and still thinks it
-        leads. By its own words its data is fresh; a caller would read
-        last week's plan.
+    def test_which_status_is_trusted(self):
+        """Guards against stale reads at a primary that was replaced.
+
+        It returns and still reports that it leads, with fresh data; a caller
+        would read data from before the promotion.
         """
         table = [
             (status(), True),
@@ -31,42 +37,49 @@
             (status(term=2), False),
             (status(term=4), True),
         ]
-        for said, expected in table:
-            with self.subTest(said=said):
-                self.assertIs(is_trusted(said, VIEW), expected)
+        for reported, expected in table:
+            with self.subTest(reported=reported):
+                self.assertIs(is_trusted(reported, VIEW), expected)
 
-    def test_age_counts_from_the_question(self):
+    def test_age_counts_from_the_request(self):
         table = [(100, 0.0, True), (100, 0.5, False), (600, 0.0, False)]
         for age_ms, known_for_s, expected in table:
             with self.subTest(age_ms=age_ms, known_for_s=known_for_s):
-                young = is_young(status(age_ms=age_ms), known_for_s, 500)
-                self.assertIs(young, expected)
+                recent = is_recent_enough(
+                    status(age_ms=age_ms), known_for_s, 500
+                )
+                self.assertIs(recent, expected)
 
 
-class Members:
-    """Three members of five slots, one slow, seen by several proxies."""
+class SimulatedMembers:
+    """Members of five slots each, used by several proxies."""
 
     def __init__(self, service_s, proxies=6):
         self.service_s = service_s
         self.ends = [[] for _ in service_s]
         self.outstanding = [[0] * len(service_s) for _ in range(proxies)]
-        self.known_s = [[0.02] * len(service_s) for _ in range(proxies)]
-        self.finishing = []
+        self.estimated_s = [[0.02] * len(service_s) for _ in range(proxies)]
+        self.in_flight = []
 
-    def settle(self, now):
-        for entry in [e for e in self.finishing if e[0] <= now]:
-            self.finishing.remove(entry)
+    def complete(self, now):
+        for entry in [e for e in self.in_flight if e[0] <= now]:
+            self.in_flight.remove(entry)
             _, proxy, member, took = entry
             self.outstanding[proxy][member] -= 1
-            known = self.known_s[proxy][member]
-            self.known_s[proxy][member] += 0.1 * (took - known)
+            estimate_s = self.estimated_s[proxy][member]
+            self.estimated_s[proxy][member] += 0.1 * (took - estimate_s)
 
     def send(self, policy, proxy, now, random):
         candidates = [
             Candidate(
-                str(m), self.outstanding[proxy][m], 2, known, 0.0005 * m, True
+                str(m),
+                self.outstanding[proxy][m],
+                2,
+                estimate_s,
+                0.0005 * m,
+                True,
             )
-            for m, known in enumerate(self.known_s[proxy])
+            for m, estimate_s in enumerate(self.estimated_s[proxy])
         ]
         member = int(policy(candidates, random).member)
         busy = sorted(end for end in self.ends[member] if end > now)
@@ -74,18 +87,18 @@
         end = start + self.service_s[member]
         self.ends[member] = [*busy, end]
         self.outstanding[proxy][member] += 1
-        self.finishing.append((end, proxy, member, self.service_s[member]))
+        self.in_flight.append((end, proxy, member, self.service_s[member]))
         return end - now
 
 
 def p99_ms(name, service_s, per_second=450.0, seconds=10.0):
-    """Return the 99th percentile of a policy's answers."""
+    """Return the 99th percentile of a policy's response times (ms)."""
     random = Random(7)
-    members, policy = Members(service_s), POLICIES.get(name)
+    members, policy = SimulatedMembers(service_s), POLICIES.get(name)
     now, took = 0.0, []
     while now < seconds:
         now += random.expovariate(per_second)
-        members.settle(now)
+        members.complete(now)
         proxy = random.randrange(6)
         took.append(members.send(policy, proxy, now, random))
     return 1000 * sorted(took)[int(0.99 * len(took))]
@@ -93,8 +106,11 @@
 
 class PoliciesTest(TestCase):
     def test_against_a_fixed_order(self):
-        """Six proxies share three members at 60% of their slots. In a
-        fixed order the first member takes all and its queue has no end.
+        """Guards against a policy that overloads one member.
+
+        Six proxies share three members at 60% of their slots. In a fixed
+        order the first member gets all reads and its queue grows without
+        bound.
         """
         equal = (0.02, 0.02, 0.02)
         naive = p99_ms("first", equal)
@@ -103,8 +119,10 @@
                 self.assertLess(p99_ms(name, equal), naive / 10)
 
     def test_expected_time_avoids_a_slow_member(self):
-        """One member needs five times as long for each read. Counting
-        requests only, a proxy still sends it a good part.
+        """Guards against a policy that ignores service times.
+
+        One member needs five times as long for each read. A proxy that only
+        counts requests still sends it a large part.
         """
         slow = (0.1, 0.02, 0.02)
         best = p99_ms("expected-time", slow)
