--- a/redwingpost/node/takeover/rosters.py
+++ b/redwingpost/node/takeover/rosters.py
@@ -15,7 +15,12 @@
 from redwingpost.ports.clock import Clock
 from redwingpost.ports.fleet_store import FleetStore
 from redwingpost.ports.platform import Condition, Row, Write
-from redwingpost.takeover.roster import Absence, Roster, do_all_hold, is_gone
+from redwingpost.takeover.roster import (
+    Absence,
+    Roster,
+    is_gone,
+    is_held_by_all,
+)
 
 ROSTER_PREFIX = "roster/"
 
@@ -195,9 +200,11 @@
                 self._pending_by_group[group.name] = pending
             return False
         await group.fresh_round()
-        heard = [group.evidence.heard(name) for name in group.member_by_name]
+        heard = [
+            group.evidence.last_report(name) for name in group.member_by_name
+        ]
         reports = tuple(item.report if item else None for item in heard)
-        if not do_all_hold(pending.position, reports):
+        if not is_held_by_all(pending.position, reports):
             return False
         del self._pending_by_group[group.name]
         return True
@@ -207,7 +214,7 @@
     ) -> Position | None:
         asked_at = self._clock.now()
         await group.fresh_round()
-        heard = group.evidence.heard(group.evidence.leader or "")
+        heard = group.evidence.last_report(group.evidence.leader or "")
         if heard is None or heard.asked_at < asked_at:
             return None
         return heard.report.received
