--- a/redwingpost/agent/exchange.py
+++ b/redwingpost/agent/exchange.py
@@ -31,7 +31,7 @@
     from_age_ms,
 )
 from redwingpost.agent.context import AgentContext
-from redwingpost.configuration.spread import Offer
+from redwingpost.configuration.state import OfferResult
 from redwingpost.core import GroupView
 from redwingpost.membership.beats import Beat, BeatSource
 from redwingpost.membership.dissemination import (
@@ -258,7 +258,7 @@
         if answer.is_error():
             return False
         copy = decode_version(answer.ok.configuration)
-        if self._state.offer(copy) is Offer.TAKEN:
+        if self._state.offer(copy) is OfferResult.TAKEN:
             self.spread(self.came_from(vm), vm)
         return True
 
--- a/redwingpost/agent/interfaces.py
+++ b/redwingpost/agent/interfaces.py
@@ -16,7 +16,7 @@
 )
 from redwingpost.agent.context import AgentContext
 from redwingpost.agent.exchange import Exchanger
-from redwingpost.configuration.spread import Offer
+from redwingpost.configuration.state import OfferResult
 from redwingpost.membership.dissemination import NewsOrigin
 from redwingpost.wire.schema import SCHEMA
 
@@ -71,7 +71,7 @@
     ) -> None:
         """Take a version that was accepted."""
         offer = self._state.offer(decode_version(configuration))
-        if offer is Offer.TAKEN:
+        if offer is OfferResult.TAKEN:
             self._spread(_context)
 
     async def members(self, _context: Any, **kwargs: Any) -> None:
--- a/redwingpost/agent/state.py
+++ b/redwingpost/agent/state.py
@@ -10,7 +10,7 @@
 
 from redwingpost.wire.codec import Digest, to_age_ms
 from redwingpost.configuration.model import Versioned, Withdrawal
-from redwingpost.configuration.spread import ConfigurationState, Offer
+from redwingpost.configuration.state import ConfigurationState, OfferResult
 from redwingpost.core import GroupView
 from redwingpost.membership.beats import Beat, BeatSource, Member
 from redwingpost.membership.confirmation import ConfirmationClock
@@ -133,11 +133,11 @@
         data_centres = self.members.data_centres()
         return now - self.confirmation.confirmed_at(data_centres, now)
 
-    def offer(self, copy: Versioned) -> Offer:
+    def offer(self, copy: Versioned) -> OfferResult:
         """Take a configuration if it is newer, whole and valid."""
         before = self.configuration.withdrawn
         offer = self.configuration.offer(copy)
-        if offer is Offer.TAKEN:
+        if offer is OfferResult.TAKEN:
             self._touch("configuration")
             if self.configuration.withdrawn != before:
                 self._touch("withdrawals")
--- a/redwingpost/agent/store_watch.py
+++ b/redwingpost/agent/store_watch.py
@@ -14,7 +14,7 @@
 from redwingpost.agent.exchange import Exchanger
 from redwingpost.configuration.acceptance import Change
 from redwingpost.configuration.log import ConfigurationLog
-from redwingpost.configuration.spread import Offer
+from redwingpost.configuration.state import OfferResult
 from redwingpost.core import Code
 from redwingpost.leases.keeper import LeaseKeeper, LeaseStep
 from redwingpost.membership.dissemination import NewsOrigin
@@ -173,9 +173,9 @@
         if copy.is_error():
             return
         offer = self._state.offer(copy.ok)
-        if offer is Offer.TAKEN:
+        if offer is OfferResult.TAKEN:
             self._exchanger.spread(NewsOrigin.LOCAL)
-        elif offer is Offer.BROKEN:
+        elif offer is OfferResult.BROKEN:
             logger.error("version {} can't be read", copy.ok.version)
 
     async def _poll_list(self) -> None:
--- a/redwingpost/configuration/__init__.py
+++ b/redwingpost/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration: its form, its keys, its acceptance and its spread."""
+"""The configuration: its format, keys, acceptance and distribution."""
--- a/redwingpost/configuration/acceptance.py
+++ b/redwingpost/configuration/acceptance.py
@@ -1,17 +1,18 @@
-"""Acceptance of a new version: one conditional write, exactly once.
-
-Answers two operators who submit at once, and a store that takes a change
-and loses the answer. The write is conditional on the head that the
-change was based on, so that one of two wins and the other learns which
-version to rebase on. It carries a submission id: the same submission
-sent again meets its own version and is told so, never accepted twice.
-Version, head and audit record stand in the same transaction; without
-that an outage between two writes would leave a change nobody can trace.
-
-A lost answer is resolved by sending the same transaction again: either
-it commits now, or its condition fails for good, and then the version's
-row says whose submission stands there. Merely reading would not do, as
-a request that hangs in the network can still take effect afterwards.
+"""Acceptance of a new version by a conditional write, exactly once.
+
+The write is conditional on the head that the change was based on: if two
+operators submit at the same time, one change is accepted and the refusal
+of the other names the version to rebase on. Each change carries a
+submission id, so that a repeated submission finds its own version and is
+never accepted twice. Version, head and audit record are written in one
+transaction; with separate writes, an outage between them would leave a
+change without an audit record.
+
+If the answer to the write is lost, the same transaction is sent again:
+either it commits now, or its condition fails permanently, and then the
+version's row names the submission that was accepted. Reading the row is
+not enough, as a request that is delayed in the network can still take
+effect after the read.
 """
 
 from json import loads
@@ -35,10 +36,10 @@
 
 
 class Change(NamedTuple):
-    """What an operator submits.
+    """A change that an operator submits.
 
-    ``base`` is the version it was written against; ``when`` is ISO 8601,
-    for people: nothing is decided by it.
+    ``base`` is the version that the change was written against.
+    ``when`` is ISO 8601 and informational only.
     """
 
     body: bytes
@@ -58,10 +59,9 @@
 
 
 class Accepted(NamedTuple):
-    """An accepted change and what it changed.
+    """An accepted change and the differences that it made.
 
-    ``again`` is True where an earlier copy of the submission had been
-    accepted already.
+    ``again`` is True if the same submission had been accepted before.
     """
 
     version: int
@@ -82,7 +82,9 @@
 
 
 def object_key(body_hash: str) -> str:
-    """Return the object that holds a body; equal bodies share it.
+    """Return the key of the object that holds a body.
+
+    Equal bodies share one object.
 
     Examples
     --------
@@ -93,21 +95,21 @@
 
 
 def head_version(head: Row | None) -> int:
-    """Return the version that the head's row names; 0 without one."""
+    """Return the version that the head's row names; 0 without a row."""
     return int(head.value["version"]) if head else 0
 
 
 def plan(
     change: Change, head: Row | None, parent: Versioned = NO_CONFIGURATION
 ) -> Result[Plan, Refusal]:
-    """Check a change whole and return the transaction that accepts it.
+    """Validate a change and return the transaction that accepts it.
 
     Parameters
     ----------
     change : Change
         The operator's change.
     head : Row or None
-        The head as read; None before the first version.
+        The head's row; None before the first version.
     parent : Versioned
         The version that the head names, with its body.
 
@@ -146,31 +148,31 @@
 
 
 def resolve(
-    change: Change, standing: Row | None, head: Row | None
+    change: Change, version_row: Row | None, head: Row | None
 ) -> Result[Accepted, Refusal] | None:
-    """Say what became of a submission, by the row it would have written.
+    """Return the outcome of a submission from its version's row.
 
     Parameters
     ----------
     change : Change
         The operator's change.
-    standing : Row or None
+    version_row : Row or None
         The row of version ``change.base + 1``.
     head : Row or None
-        The head, to name the version to rebase on.
+        The head's row, which names the version to rebase on.
 
     Returns
     -------
     Result or None
-        None where the version doesn't stand yet.
+        None if version ``change.base + 1`` doesn't exist yet.
     """
-    if standing is None:
+    if version_row is None:
         return None
-    if standing.value.get("submission") != change.submission:
+    if version_row.value.get("submission") != change.submission:
         return Error(conflict(change.base, head_version(head)))
     accepted = Accepted(
-        version=int(standing.value["version"]),
-        body_hash=str(standing.value["hash"]),
+        version=int(version_row.value["version"]),
+        body_hash=str(version_row.value["hash"]),
         changes=(),
         again=True,
     )
@@ -178,14 +180,14 @@
 
 
 def _keep_withdrawals(body: bytes, parent: bytes) -> bytes:
-    """Return the body with its parent's withdrawals kept.
+    """Return the body with its parent's withdrawals added.
 
-    An operator's file may be older than a withdrawal; dropping it would
-    bring a withdrawn key back.
+    An operator's file may be older than a withdrawal. Without the
+    parent's withdrawals the withdrawn key would be valid again.
     """
     new = loads(body)
-    before = loads(parent).get("withdrawn", []) if parent else []
-    kept = {canonical(item): item for item in before}
+    earlier = loads(parent).get("withdrawn", []) if parent else []
+    kept = {canonical(item): item for item in earlier}
     kept.update((canonical(i), i) for i in new.get("withdrawn", []))
     if kept:
         new["withdrawn"] = [kept[key] for key in sorted(kept)]
--- a/redwingpost/configuration/diff.py
+++ b/redwingpost/configuration/diff.py
@@ -1,19 +1,19 @@
-"""What changed between two configurations, line by line.
+"""The differences between two configurations, one line each.
 
-The lines go into the audit record and to the operator's terminal; they
-hold hashes of keys, never keys.
+The lines are written to the audit record and to the operator's terminal.
+They contain hashes of keys, never keys.
 """
 
 from json import dumps, loads
 from typing import Any
 
-#: The audit row has to fit a table row; the whole of a larger change is
-#: in the two versions' bodies.
+#: Limits the audit record to the size of a table row. The bodies of both
+#: versions hold the whole of a larger change.
 MAX_LINES = 50
 
 
 def canonical(body: Any) -> bytes:
-    """Return a body's bytes, the same for equal bodies.
+    """Return the canonical JSON of a body: equal bodies, equal bytes.
 
     Examples
     --------
@@ -26,12 +26,12 @@
 
 
 def describe_changes(old: bytes, new: bytes) -> tuple[str, ...]:
-    """Return one line for each change from one body to another.
+    """Return one line for each difference between two bodies.
 
     Parameters
     ----------
     old, new : bytes
-        JSON bodies; an empty one stands for "nothing yet".
+        JSON bodies; empty bytes mean that there is no body yet.
 
     Examples
     --------
--- a/redwingpost/configuration/keys.py
+++ b/redwingpost/configuration/keys.py
@@ -1,17 +1,17 @@
-"""Which keys are honoured: granted, rotated, withdrawn, unconfirmed.
+"""Validation of keys: granted, rotated, withdrawn, unconfirmed.
 
-Answers callers that go on with a key after it was withdrawn, on
-connections opened before. Each request asks the key ring again; checked
-only at the handshake, a withdrawn caller would stay for as long as it
-keeps its connection.
+Every request is checked against the key ring. If keys were checked at the
+handshake only, a caller could go on using a withdrawn key for as long as
+it keeps its connection.
 
-Withdrawals only ever accumulate: whichever copy of the set arrives, from
-the configuration, a peer or an operator, is unioned in, so that neither
-an old version nor a late message brings a key back.
+Withdrawals only accumulate: each set that arrives, from the
+configuration, a peer or an operator, is merged into the known set, so
+that neither an old version nor a late message makes a withdrawn key valid
+again.
 
-A VM that is cut off from everyone can't hear of withdrawals. It honours
-keys for ``confirmation_s`` after the last confirmation, then refuses
-with ``Code.KEY_UNCONFIRMED`` (grounds in ``docs/design/keys.md``).
+A VM that is partitioned from all others doesn't receive withdrawals. It
+accepts keys for ``confirmation_s`` after the last confirmation, then
+refuses with ``Code.KEY_UNCONFIRMED`` (see ``docs/design/keys.md``).
 """
 
 from collections.abc import Iterable, Mapping
@@ -27,11 +27,11 @@
 
 
 def hash_key(key: str) -> str:
-    """Return SHA1(SHA1(key)) in hex, as the configuration keeps it.
+    """Return SHA1(SHA1(key)) in hex, as the configuration stores it.
 
-    This is the stored form of ``mysql_native_password``; a key is 160
-    random bits (``redwingpost.operator``), so that the fast hash can't
-    be searched.
+    This is the stored form of ``mysql_native_password``. A key has 160
+    random bits (``redwingpost.operator``), which makes a brute-force
+    search infeasible although the hash is fast.
 
     Examples
     --------
@@ -43,12 +43,12 @@
 
 
 class KeyRing:
-    """The keys that one process honours.
+    """The keys that one process accepts.
 
     Parameters
     ----------
     confirmation_s : float
-        Seconds that keys are honoured after the last confirmation.
+        Seconds that keys are accepted after the last confirmation.
 
     Examples
     --------
@@ -65,41 +65,41 @@
 
     @property
     def withdrawn(self) -> frozenset[Withdrawal]:
-        """All withdrawals this process has ever heard of."""
+        """All withdrawals that this process has received."""
         return self._withdrawn
 
     def grant(self, configuration: Configuration) -> None:
-        """Take the keys of a configuration and its withdrawals."""
+        """Replace the granted keys and merge in the withdrawals."""
         self._organisations = configuration.organisations_by_name
         self.withdraw(configuration.withdrawn)
 
     def withdraw(
         self, withdrawals: Iterable[Withdrawal]
     ) -> frozenset[Withdrawal]:
-        """Union withdrawals in.
+        """Merge withdrawals into the known set.
 
         Returns
         -------
         frozenset of Withdrawal
-            Those that are new, whose connections must be cut short.
+            The new ones; connections that use these keys must be closed.
         """
         new = frozenset(withdrawals) - self._withdrawn
         self._withdrawn |= new
         return new
 
     def confirm(self, at: float) -> None:
-        """Note that the withdrawals were current at ``at`` (seconds)."""
+        """Record that the withdrawals were current at ``at`` (seconds)."""
         self._confirmed_at = max(self._confirmed_at, at)
 
     def is_confirmed(self, now: float) -> bool:
-        """Say whether keys may be honoured at ``now`` (seconds)."""
+        """Return whether keys may be accepted at ``now`` (seconds)."""
         return now - self._confirmed_at <= self._confirmation_s
 
     def hashes(self, organisation: str) -> tuple[str, ...]:
-        """Return the hashes that a handshake may be checked against.
+        """Return the key hashes that a handshake is checked against.
 
-        Withdrawn keys are among them, so that their callers are told
-        ``key-withdrawn`` and not ``wrong-key``; ``check`` refuses them.
+        They include withdrawn keys, which ``check`` refuses: their
+        callers get ``key-withdrawn`` and not ``wrong-key``.
         """
         granted = (self._organisations or {}).get(organisation)
         if granted is None:
@@ -109,14 +109,14 @@
     def check(
         self, organisation: str, key_hash: str, now: float
     ) -> Refusal | None:
-        """Return why a request must be refused, or None to serve it.
+        """Return the refusal of a request, or None if it is allowed.
 
         Parameters
         ----------
         organisation : str
-            Whom the caller says it is.
+            The organisation that the caller signed in as.
         key_hash : str
-            SHA1(SHA1(key)) in hex of the key it proved to hold.
+            SHA1(SHA1(key)) in hex of the key that the caller proved.
         now : float
             Seconds on the process's clock.
         """
--- a/redwingpost/configuration/log.py
+++ b/redwingpost/configuration/log.py
@@ -1,7 +1,7 @@
 """The log of versions in the platform's store: read, submit, withdraw.
 
-The steps over the ports; what each answer means is decided in
-``redwingpost.configuration.acceptance``.
+This module makes the calls to the store;
+``redwingpost.configuration.acceptance`` interprets the answers.
 """
 
 from collections.abc import Iterable
@@ -32,12 +32,14 @@
 from redwingpost.core import Code, Refusal
 from redwingpost.ports import ObjectStore, Row, TableService
 
-#: Times that a transaction is sent before its outcome is left open. The
-#: same transaction again is harmless, whatever became of the first.
-ATTEMPTS = 4
+#: How often a transaction is sent before its outcome is reported as
+#: unknown. Sending the same transaction again is safe whether or not the
+#: first one was committed.
+MAX_ATTEMPTS = 4
 
-#: Times that a withdrawal is rebased on a version that came first.
-REBASES = 8
+#: How often a withdrawal is rebased when another version is accepted
+#: first.
+MAX_REBASES = 8
 
 
 class Head(NamedTuple):
@@ -105,17 +107,17 @@
         return await self._tables.scan(AUDIT_TABLE, after=f"{after:012d}")
 
     async def submit(self, change: Change) -> Result[Accepted, Refusal]:
-        """Have a change accepted.
+        """Submit a change for acceptance.
 
         Returns
         -------
         Result
-            What was accepted, or ``Code.CONFIG_CONFLICT``,
+            The accepted change, or ``Code.CONFIG_CONFLICT``,
             ``Code.CONFIG_INVALID``, ``Code.STORE_UNAVAILABLE`` (nothing
-            was taken), or ``Code.STORE_OUTCOME_UNKNOWN``: submit again
-            with the same submission id to learn the outcome.
+            was accepted), or ``Code.STORE_OUTCOME_UNKNOWN``: submit
+            again with the same submission id to learn the outcome.
         """
-        earlier = await self._standing(change)
+        earlier = await self._find_outcome(change)
         if earlier is not None:
             return earlier
         head = await self.head()
@@ -132,22 +134,22 @@
     async def withdraw(
         self, withdrawals: Iterable[Withdrawal], change: Change
     ) -> Result[Accepted, Refusal]:
-        """Record withdrawals on top of whatever version stands.
+        """Record withdrawals in a new version based on the newest one.
 
         Parameters
         ----------
         withdrawals : iterable of Withdrawal
-            What to record.
+            The withdrawals to record.
         change : Change
             Who and when; its body and base are filled in here.
         """
         wanted = frozenset(withdrawals)
-        for attempt in range(REBASES):
+        for attempt in range(MAX_REBASES):
             head = await self.head()
             if head.is_error():
                 return head
             if head.ok.row is None:
-                return Error(Refusal(Code.NOT_FOUND, "no version stands"))
+                return Error(Refusal(Code.NOT_FOUND, "no version exists yet"))
             version = head.ok.version
             body = _with_withdrawals(version.body, wanted)
             if body is None:
@@ -164,51 +166,52 @@
                 return result
         return result
 
-    async def _standing(
+    async def _find_outcome(
         self, change: Change
     ) -> Result[Accepted, Refusal] | None:
-        """Return what became of the submission, if its version stands."""
+        """Return the submission's outcome; None if not yet decided."""
         key = version_key(change.base + 1)
-        standing = await self._tables.read(TABLE, key)
-        if standing.is_error():
-            return standing
-        if standing.ok is None:
+        version_row = await self._tables.read(TABLE, key)
+        if version_row.is_error():
+            return version_row
+        if version_row.ok is None:
             return None
         head = await self.head_row()
         if head.is_error():
             return head
-        return resolve(change, standing.ok, head.ok)
+        return resolve(change, version_row.ok, head.ok)
 
     async def _store_body(self, planned: Plan) -> Result[None, Refusal]:
-        """Store the body first: a version never names a missing body."""
+        """Store the body before the version that refers to it."""
         key = object_key(planned.version.body_hash)
-        for _ in range(ATTEMPTS):
+        for _ in range(MAX_ATTEMPTS):
             stored = await self._objects.put(key, planned.version.body)
             if stored.is_ok():
                 return stored
-            # A lost answer alone would end the submission although the
-            # store is well; storing the same body again does no harm.
+            # Without a retry, one lost answer would fail the submission
+            # although the store is available. Storing the same body
+            # again is safe.
             if stored.error.code != Code.STORE_OUTCOME_UNKNOWN:
                 break
-        # Bodies are named by their hash, so that a stored body without
-        # a version is as if nothing had happened.
+        # Bodies are named by their hash, so a stored body that no
+        # version refers to has no effect.
         detail = f"the body was not stored: {stored.error.detail}"
         return Error(Refusal(Code.STORE_UNAVAILABLE, detail))
 
     async def _commit(
         self, change: Change, planned: Plan
     ) -> Result[Accepted, Refusal]:
-        may_stand = False
+        may_be_committed = False
         refusal = Refusal(Code.STORE_UNAVAILABLE)
-        for _ in range(ATTEMPTS):
+        for _ in range(MAX_ATTEMPTS):
             sent = await self._tables.transact(
                 planned.conditions, planned.writes
             )
             if sent.is_error():
                 refusal = sent.error
                 lost = refusal.code == Code.STORE_OUTCOME_UNKNOWN
-                may_stand = may_stand or lost
-                if not may_stand:
+                may_be_committed = may_be_committed or lost
+                if not may_be_committed:
                     return sent
                 continue
             if sent.ok.committed:
@@ -221,18 +224,20 @@
                         False,
                     )
                 )
-            standing = await self._standing(change)
-            if standing is not None and standing.is_ok():
-                return standing
-            if standing is not None:
-                refusal = standing.error
+            outcome = await self._find_outcome(change)
+            if outcome is not None and outcome.is_ok():
+                return outcome
+            if outcome is not None:
+                refusal = outcome.error
                 if refusal.code == Code.CONFIG_CONFLICT:
-                    return standing
-        return Error(_unresolved(change, refusal, may_stand))
+                    return outcome
+        return Error(_unresolved(change, refusal, may_be_committed))
 
 
-def _unresolved(change: Change, refusal: Refusal, may_stand: bool) -> Refusal:
-    if not may_stand:
+def _unresolved(
+    change: Change, refusal: Refusal, may_be_committed: bool
+) -> Refusal:
+    if not may_be_committed:
         return refusal
     detail = (
         f"submit again with --submission {change.submission} "
@@ -244,7 +249,7 @@
 def _with_withdrawals(
     body: bytes, withdrawals: frozenset[Withdrawal]
 ) -> bytes | None:
-    """Return the body with withdrawals added; None if it has them."""
+    """Return the body with withdrawals added; None if it has them all."""
     new = loads(body)
     recorded = {
         Withdrawal(item["organisation"], item["hash"])
--- a/redwingpost/configuration/model.py
+++ b/redwingpost/configuration/model.py
@@ -1,7 +1,8 @@
-"""The configuration's records: as JSON (TypedDict) and as checked.
+"""The configuration's records, in JSON and in validated form.
 
-The JSON form is what ``redwingpost.operator`` prints and operators
-submit; the checked form is what every decision reads.
+Operators submit the JSON form (``TypedDict``), which
+``redwingpost.operator`` prints. The rest of the code reads the validated
+form (``NamedTuple``).
 """
 
 from collections.abc import Mapping
@@ -19,7 +20,7 @@
 
 
 class OrganisationJson(TypedDict):
-    """One organisation; ``rate`` is statements a second, fleet-wide."""
+    """One organisation; ``rate`` is statements/s over the whole fleet."""
 
     keys: list[KeyJson]
     rate: float
@@ -37,7 +38,7 @@
 
 
 class GroupJson(TypedDict):
-    """One database group; ``connections`` is each member's limit."""
+    """One database group; ``connections`` is the limit per member."""
 
     connections: int
     members: dict[str, MemberJson]
@@ -71,14 +72,14 @@
 
 
 class KeyGrant(NamedTuple):
-    """A key that an organisation may present."""
+    """A key that an organisation may sign in with."""
 
     name: str
     key_hash: str
 
 
 class Withdrawal(NamedTuple):
-    """A key that must never work again."""
+    """A key that is permanently refused."""
 
     organisation: str
     key_hash: str
@@ -106,7 +107,7 @@
 class Kind(NamedTuple):
     """A request kind.
 
-    ``unconfirmed`` says what happens to a write that no second member
+    ``unconfirmed`` is the action for a write that no second member
     confirmed in time: ``refuse`` or ``accept``.
     """
 
@@ -118,7 +119,7 @@
 
 
 class Configuration(NamedTuple):
-    """A checked configuration."""
+    """A validated configuration."""
 
     site: str
     organisations_by_name: Mapping[str, Organisation]
@@ -128,23 +129,23 @@
     draining_members: frozenset[str]
 
     def kind(self, name: str) -> Kind:
-        """Return a request kind; unknown ones get the defaults."""
+        """Return a request kind, with defaults if it isn't configured."""
         return self.kinds_by_name.get(name) or Kind(name)
 
 
 class Versioned(NamedTuple):
-    """An accepted configuration as it travels: version, hash, body."""
+    """An accepted configuration as sent between VMs and the store."""
 
     version: int
     body_hash: str
     body: bytes
 
     def is_intact(self) -> bool:
-        """Say whether the body is the one that was accepted."""
+        """Return whether the body matches its hash."""
         return hash_body(self.body) == self.body_hash
 
 
-#: What a VM has before it heard of any version.
+#: The configuration of a VM that hasn't received any version yet.
 NO_CONFIGURATION = Versioned(0, "", b"")
 
 
--- a/redwingpost/configuration/parse.py
+++ b/redwingpost/configuration/parse.py
@@ -1,7 +1,7 @@
-"""Check a configuration's body whole before anything relies on it.
+"""Validation of a configuration's body before it is used.
 
-Every fault found is named at once, with the nearest known name where a
-name is unknown, so that an operator mends a body in one round.
+All faults are reported at once, with the closest known name for each
+unknown one, so that an operator can correct a body in one round.
 """
 
 from collections.abc import Mapping
@@ -31,31 +31,31 @@
 )
 from redwingpost.core import Code, MemberAddress, Refusal
 
-#: Names travel as MySQL user and schema names, and in metric labels.
+#: Names are used as MySQL user and schema names and as metric labels.
 NAME_PATTERN = compile_pattern(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,63}")
 HASH_PATTERN = compile_pattern(r"[0-9a-f]{40}")
 UNCONFIRMED = ("refuse", "accept")
 
-#: A refusal is read by a person: more faults than this are counted only.
+#: Keeps a refusal readable: further faults are only counted.
 MAX_FAULTS_SHOWN = 12
 
-#: 1,300 groups of three members and some thousand organisations come to
-#: about 2 MB of JSON; a larger body is a mistake.
+#: 1,300 groups of three members and some thousand organisations take
+#: about 2 MB of JSON; a body above the limit is a mistake.
 MAX_BODY_BYTES = 8 * 1024 * 1024
 
 
 def parse_configuration(body: bytes) -> Result[Configuration, Refusal]:
-    """Check a JSON body and return it as frozen records.
+    """Validate a JSON body and return it as immutable records.
 
     Parameters
     ----------
     body : bytes
-        UTF-8 JSON, form ``ConfigurationJson``.
+        UTF-8 JSON in the form of ``ConfigurationJson``.
 
     Returns
     -------
     Result
-        The configuration, or ``Code.CONFIG_INVALID`` naming each fault.
+        The configuration, or ``Code.CONFIG_INVALID`` with all faults.
 
     Examples
     --------
@@ -77,7 +77,7 @@
 
 
 class _Reader:
-    """Walks a body and collects faults, each with its path."""
+    """Reads a body and collects its faults, each with its path."""
 
     def __init__(self) -> None:
         self.faults: list[str] = []
@@ -93,11 +93,11 @@
     def read(self, raw: Any) -> Configuration:
         """Read the whole body."""
         top = self._table(raw, "body", ConfigurationJson)
-        groups = self._named(top.get("groups"), "groups", self._group)
-        organisations = self._named(
+        groups = self._mapping(top.get("groups"), "groups", self._group)
+        organisations = self._mapping(
             top.get("organisations"), "organisations", self._organisation
         )
-        kinds = self._named(top.get("kinds"), "kinds", self._kind)
+        kinds = self._mapping(top.get("kinds"), "kinds", self._kind)
         configuration = Configuration(
             site=self._text(top.get("site"), "site"),
             organisations_by_name=organisations,
@@ -108,33 +108,33 @@
                 top.get("draining_members"), "draining_members"
             ),
         )
-        self._check_whole(configuration)
+        self._check_references(configuration)
         return configuration
 
     def _fault(self, path: str, problem: str) -> None:
         self.faults.append(f"{path}: {problem}")
 
-    def _table(self, raw: Any, path: str, form: type) -> dict[str, Any]:
-        """Return a JSON object with the keys of a TypedDict."""
+    def _table(self, raw: Any, path: str, schema: type) -> dict[str, Any]:
+        """Return a JSON object; check its keys against a TypedDict."""
         if not isinstance(raw, dict):
             self._fault(path, "allowed: an object")
             return {}
         prefix = "" if path == "body" else path + "."
-        known = tuple(form.__annotations__)
+        known = tuple(schema.__annotations__)
         for key in raw:
             if key not in known:
                 self._fault(prefix + key, "unknown key" + _hint(key, known))
         for key in known:
-            if key in form.__required_keys__ and key not in raw:
+            if key in schema.__required_keys__ and key not in raw:
                 self._fault(prefix + key, "missing")
         return raw
 
-    def _named(self, raw: Any, path: str, read: Any) -> Mapping[str, Any]:
+    def _mapping(self, raw: Any, path: str, read: Any) -> Mapping[str, Any]:
         """Read an object whose keys are names."""
         if raw is None:
             return {}
         if not isinstance(raw, dict):
-            self._fault(path, "allowed: an object by name")
+            self._fault(path, "allowed: an object keyed by name")
             return {}
         entries = {}
         for name, value in raw.items():
@@ -162,7 +162,7 @@
             table = self._table(item, where, KeyJson)
             name = self._text(table.get("name"), where + ".name")
             if name in keys:
-                self._fault(where + ".name", f"{name!r} stands twice")
+                self._fault(where + ".name", f"{name!r} is listed twice")
             key_hash = self._hash(table.get("hash"), where + ".hash")
             keys[name] = KeyGrant(name, key_hash)
         return keys
@@ -178,7 +178,7 @@
             return self._member(name, member, raw, where)
 
         where = path + ".members"
-        members = self._named(table.get("members"), where, read_member)
+        members = self._mapping(table.get("members"), where, read_member)
         if not members:
             self._fault(where, "allowed: one member or more")
         return Group(name, connections, members)
@@ -193,7 +193,7 @@
             port = 0
         ip = self._text(table.get("ip"), path + ".ip")
         if ip and not _is_ip(ip):
-            self._fault(path + ".ip", f"allowed: an IP number; got {ip!r}")
+            self._fault(path + ".ip", f"allowed: an IP address; got {ip!r}")
         data_centre = self._text(
             table.get("data_centre"), path + ".data_centre"
         )
@@ -254,7 +254,8 @@
     def _hash(self, raw: Any, path: str) -> str:
         text = self._text(raw, path)
         if text and HASH_PATTERN.fullmatch(text) is None:
-            # The value isn't repeated: it may be a key pasted by mistake.
+            # The message omits the value: it may be a key that was
+            # pasted by mistake.
             self._fault(path, "allowed: 40 hex digits, SHA1(SHA1(key))")
         return text
 
@@ -266,11 +267,11 @@
             return 1.0
         return float(raw)
 
-    def _check_whole(self, configuration: Configuration) -> None:
-        """Check what holds between entries."""
+    def _check_references(self, configuration: Configuration) -> None:
+        """Check the conditions that involve several entries."""
         self._check_groups_known(configuration)
-        self._check_members_apart(configuration)
-        self._check_keys_apart(configuration)
+        self._check_members_unique(configuration)
+        self._check_keys_unique(configuration)
 
     def _check_groups_known(self, configuration: Configuration) -> None:
         known = tuple(configuration.groups_by_name)
@@ -281,8 +282,11 @@
                     hint = _hint(group, known)
                     self._fault(path, f"unknown group {group!r}{hint}")
 
-    def _check_members_apart(self, configuration: Configuration) -> None:
-        """A member in two groups would take two groups' writes."""
+    def _check_members_unique(self, configuration: Configuration) -> None:
+        """Check that no member or address belongs to two groups.
+
+        A member in two groups would receive the writes of both.
+        """
         groups_by_member: dict[str, str] = {}
         groups_by_address: dict[tuple[str, int], str] = {}
         for group in configuration.groups_by_name.values():
@@ -294,7 +298,9 @@
                     self._fault(path, f"is a member of {other!r} too")
                 elif address in groups_by_address:
                     other = groups_by_address[address]
-                    self._fault(path, f"has the address of one in {other!r}")
+                    self._fault(
+                        path, f"has the address of a member of {other!r}"
+                    )
                 groups_by_member[name] = group.group
                 groups_by_address[address] = group.group
         known = tuple(groups_by_member)
@@ -303,8 +309,11 @@
                 hint = _hint(name, known)
                 self._fault("draining_members", f"unknown {name!r}{hint}")
 
-    def _check_keys_apart(self, configuration: Configuration) -> None:
-        """One key for two organisations can't be withdrawn from one."""
+    def _check_keys_unique(self, configuration: Configuration) -> None:
+        """Check that no key is granted to two organisations.
+
+        A shared key couldn't be withdrawn from only one of them.
+        """
         owners_by_hash: dict[str, str] = {}
         for name, organisation in configuration.organisations_by_name.items():
             for grant in organisation.keys_by_name.values():
--- a/redwingpost/configuration/routes.py
+++ b/redwingpost/configuration/routes.py
@@ -1,7 +1,7 @@
-"""Routes, groups and organisations as the node decides by them.
+"""Rules for routes, database groups and organisations.
 
-A database name that callers ask for is a route to a group of members,
-with the consistency that its reads need.
+A database name that callers use is a route to a database group, with the
+consistency that its reads require.
 """
 
 from enum import Enum
@@ -9,11 +9,13 @@
 
 
 class Consistency(Enum):
-    """What a read must see.
+    """The commits that a read must see.
 
-    ``PRIMARY``: every commit acknowledged before it began.
-    ``STATED_AGE``: every commit older than the route's stated age.
-    ``READ_YOUR_WRITES``: that, and every commit of its own session.
+    ``PRIMARY``: every commit acknowledged before the read began.
+    ``STATED_AGE``: every commit older than the route's
+    ``max_staleness_s``.
+    ``READ_YOUR_WRITES``: as ``STATED_AGE``, and every commit of the
+    read's own session.
     """
 
     PRIMARY = "primary"
@@ -22,10 +24,10 @@
 
 
 class RouteRule(NamedTuple):
-    """One database name; times are seconds.
+    """The route of one database name; times are seconds.
 
-    ``priority`` 0 goes first. ``timeout_s`` limits one statement;
-    ``target_latency_s`` is what a whole operation should take.
+    ``priority`` 0 is the highest. ``timeout_s`` limits one statement;
+    ``target_latency_s`` is the intended duration of a whole operation.
     """
 
     database: str
@@ -39,10 +41,11 @@
 
 
 class GroupRule(NamedTuple):
-    """One group of members.
+    """One database group.
 
-    ``max_connections`` counts at each member, over all callers;
-    ``sync_replicas`` replicas hold a commit before it is acknowledged.
+    ``max_connections`` limits the connections of all callers to each
+    member. A commit is acknowledged once ``sync_replicas`` replicas have
+    it.
     """
 
     group: str
@@ -51,7 +54,7 @@
 
 
 class OrganisationRule(NamedTuple):
-    """One organisation: its keys, operations a second, and burst."""
+    """One organisation; ``rate`` is operations/s, ``burst`` operations."""
 
     name: str
     keys: frozenset[str]
@@ -61,7 +64,7 @@
 
 
 class ServiceRules(NamedTuple):
-    """One whole version of the configuration, ready for look-ups."""
+    """All rules of one configuration version, indexed for look-up."""
 
     version: int
     routes_by_database: dict[str, RouteRule]
@@ -71,7 +74,7 @@
     idle_transaction_s: float
 
     def organisation_of(self, key: str) -> OrganisationRule | None:
-        """Return the organisation that holds a key now."""
+        """Return the organisation that a key is granted to, if any."""
         return self.organisations_by_key.get(key)
 
 
--- a/redwingpost/configuration/spread.py
+++ b/redwingpost/configuration/state.py
@@ -1,13 +1,13 @@
-"""What one VM holds of the configuration, and what it takes from others.
+"""The configuration that one VM has, and the copies that it accepts.
 
-Answers copies that arrive from the store, from peers that lag and from
-peers that run ahead, in any order, while the store may be down. Versions
-never go back: an older copy is not taken, whoever offers it. A copy is
-taken only if its body has the hash it claims and reads as a
-configuration; else one broken peer would put a fleet off the air.
+Copies arrive in any order, from the store and from peers with older or
+newer versions, also while the store is unavailable. The version never
+decreases: an older copy is rejected whatever its source. A copy is
+accepted only if its body matches its hash and is a valid configuration;
+otherwise one faulty peer could take the whole fleet out of service.
 
-Withdrawals travel beside the versions and ahead of them, since they
-can't wait for a store that is away; they only ever accumulate.
+Withdrawals are exchanged separately from versions, so that they spread
+while the store is unavailable. They only accumulate.
 """
 
 from collections.abc import Iterable
@@ -23,8 +23,8 @@
 from redwingpost.configuration.parse import parse_configuration
 
 
-class Offer(Enum):
-    """What became of a copy that was offered."""
+class OfferResult(Enum):
+    """The result of offering a copy to a VM."""
 
     TAKEN = "taken"
     KNOWN = "known"
@@ -33,13 +33,13 @@
 
 
 class ConfigurationState:
-    """The configuration and the withdrawals that a VM holds.
+    """The configuration and the withdrawals that a VM has.
 
     Examples
     --------
     >>> state = ConfigurationState()
     >>> state.offer(Versioned(1, "not its hash", b"{}"))
-    <Offer.BROKEN: 'broken'>
+    <OfferResult.BROKEN: 'broken'>
     >>> state.version
     0
     """
@@ -51,77 +51,78 @@
 
     @property
     def version(self) -> int:
-        """The version held; 0 before any."""
+        """The number of the current version; 0 before the first."""
         return self._current.version
 
     @property
     def current(self) -> Versioned:
-        """The version held, as it travels."""
+        """The current version with its hash and body."""
         return self._current
 
     @property
     def configuration(self) -> Configuration | None:
-        """The version held, checked."""
+        """The current version, validated; None before the first."""
         return self._configuration
 
     @property
     def withdrawn(self) -> frozenset[Withdrawal]:
-        """Every withdrawal heard of."""
+        """All withdrawals that this VM has received."""
         return self._withdrawn
 
     @property
     def withdrawals_mark(self) -> int:
-        """A number that tells sets of withdrawals apart."""
-        return mark_withdrawals(self._withdrawn)
+        """A checksum of the set of withdrawals."""
+        return checksum_withdrawals(self._withdrawn)
 
-    def offer(self, copy: Versioned) -> Offer:
-        """Take a copy if it is newer, whole and valid."""
+    def offer(self, copy: Versioned) -> OfferResult:
+        """Accept a copy if it is newer, intact and valid."""
         if copy.version < self._current.version:
-            return Offer.OLDER
+            return OfferResult.OLDER
         if copy.version == self._current.version:
             same = copy.body_hash == self._current.body_hash
-            return Offer.KNOWN if same else Offer.BROKEN
+            return OfferResult.KNOWN if same else OfferResult.BROKEN
         if not copy.is_intact():
-            return Offer.BROKEN
+            return OfferResult.BROKEN
         parsed = parse_configuration(copy.body)
         if parsed.is_error():
-            return Offer.BROKEN
+            return OfferResult.BROKEN
         self._current = copy
         self._configuration = parsed.ok
         self.withdraw(parsed.ok.withdrawn)
-        return Offer.TAKEN
+        return OfferResult.TAKEN
 
     def withdraw(
         self, withdrawals: Iterable[Withdrawal]
     ) -> frozenset[Withdrawal]:
-        """Union withdrawals in and return those that are new."""
+        """Merge withdrawals into the known set; return the new ones."""
         new = frozenset(withdrawals) - self._withdrawn
         self._withdrawn |= new
         return new
 
     def unrecorded(self) -> frozenset[Withdrawal]:
-        """Return the withdrawals that the version held doesn't record.
+        """Return the withdrawals that the current version lacks.
 
-        They were accepted while the store was away, or a moment ago.
+        They were accepted while the store was unavailable, or after the
+        current version.
         """
         if self._configuration is None:
             return self._withdrawn
         return self._withdrawn - self._configuration.withdrawn
 
 
-def mark_withdrawals(withdrawals: Iterable[Withdrawal]) -> int:
-    """Return a 32-bit sum over a set, whatever its order.
+def checksum_withdrawals(withdrawals: Iterable[Withdrawal]) -> int:
+    """Return a 32-bit checksum of a set, independent of its order.
 
-    Two VMs that compare counts only would not notice that each has one
-    withdrawal that the other lacks. Two different sets share a mark once
-    in four thousand million pairs.
+    If two VMs compared counts only, they would not notice that each has
+    one withdrawal that the other lacks. Two different sets have the same
+    checksum once in 2**32 pairs.
 
     Examples
     --------
-    >>> mark_withdrawals([])
+    >>> checksum_withdrawals([])
     0
     >>> a, b = Withdrawal("a", "1"), Withdrawal("b", "2")
-    >>> mark_withdrawals([a, b]) == mark_withdrawals([b, a])
+    >>> checksum_withdrawals([a, b]) == checksum_withdrawals([b, a])
     True
     """
     total = 0
--- a/redwingpost/configuration/tests/test_fuzz_configuration.py
+++ b/redwingpost/configuration/tests/test_fuzz_configuration.py
@@ -1,4 +1,4 @@
-"""Bodies that an operator may submit: checked whole, never a crash."""
+"""Fuzz tests: any submitted body is parsed or refused, never a crash."""
 
 from copy import deepcopy
 from json import dumps
@@ -48,19 +48,19 @@
 ACTIONS = sampled_from(("replace", "remove", "rename"))
 
 
-def places(value, path=()):
-    """Return the paths of everything inside a JSON value."""
+def json_paths(value, path=()):
+    """Return the paths of all entries of a JSON value."""
     found = [path] if path else []
     if isinstance(value, dict):
         for key, inner in value.items():
-            found.extend(places(inner, (*path, key)))
+            found.extend(json_paths(inner, (*path, key)))
     elif isinstance(value, list):
         for number, inner in enumerate(value):
-            found.extend(places(inner, (*path, number)))
+            found.extend(json_paths(inner, (*path, number)))
     return found
 
 
-PLACES = places(GOOD)
+JSON_PATHS = json_paths(GOOD)
 
 
 class FuzzConfigurationTest(TestCase):
@@ -84,11 +84,11 @@
         self.check(dumps(value).encode())
 
     @fuzz(1000)
-    @given(integers(0, len(PLACES) - 1), ACTIONS, JSON_VALUES)
+    @given(integers(0, len(JSON_PATHS) - 1), ACTIONS, JSON_VALUES)
     def test_one_thing_wrong(self, number, action, value):
         """One entry of a good body is replaced, removed or renamed."""
         changed = deepcopy(GOOD)
-        *path, last = PLACES[number]
+        *path, last = JSON_PATHS[number]
         inner = changed
         for step in path:
             inner = inner[step]
@@ -101,7 +101,7 @@
         self.check(dumps(changed).encode())
 
     def test_deep_bodies_are_refused(self):
-        """A body nested a hundred thousand deep exhausts the stack."""
+        """A body nested 100,000 levels deep exhausts the stack."""
         for opening in (b"[", b'{"a":'):
             with self.subTest(opening=opening):
                 self.assertTrue(self.check(opening * 100_000).is_error())
--- a/redwingpost/configuration/tests/test_keys.py
+++ b/redwingpost/configuration/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Tests of which keys are honoured."""
+"""Tests of the key ring: which keys are accepted."""
 
 from json import dumps
 from unittest import TestCase
@@ -44,9 +44,9 @@
                 self.assertEqual(refusal and refusal.code, code)
 
     def test_an_older_copy_never_brings_a_key_back(self):
-        # A peer that was cut off sends an old configuration, in which
-        # the key is granted and not withdrawn. Without the union the
-        # withdrawn caller would be let in again.
+        # A peer that was partitioned sends an old configuration, in
+        # which the key is granted and not withdrawn. If its withdrawals
+        # replaced the known ones, the key would be accepted again.
         ring = make_ring()
         new = ring.withdraw([Withdrawal(PUNO, FIRST)])
         self.assertEqual(new, {Withdrawal(PUNO, FIRST)})
@@ -57,9 +57,9 @@
         self.assertFalse(ring.withdraw([Withdrawal(PUNO, FIRST)]))
 
     def test_keys_go_unconfirmed_for_so_long_only(self):
-        # The VM is cut off from everyone, so that a withdrawal can't
-        # reach it. Callers are told so once the bound is passed, and
-        # served again as soon as the VM is back in touch.
+        # The VM is partitioned from all others, so that withdrawals
+        # can't reach it. Callers are refused after the confirmation
+        # limit, and served again after the next confirmation.
         ring = make_ring()
         self.assertIsNone(ring.check(PUNO, FIRST, now=600.0))
         self.assertEqual(
--- a/redwingpost/configuration/tests/test_log.py
+++ b/redwingpost/configuration/tests/test_log.py
@@ -28,7 +28,7 @@
 
 
 class LossyBodies(MemoryStore):
-    """A store that loses its answers to bodies."""
+    """A store whose answers to stored bodies are lost."""
 
     lost = 0
 
@@ -63,9 +63,9 @@
         self.assertEqual(run(self.log.version(1)).ok.version, 1)
 
     def test_two_operators_at_once(self):
-        # Both read version 1, change it and submit. One must win and
-        # the other learn which version to rebase on; were both taken,
-        # the first one's change would be gone without a word.
+        # Both read version 1, change it and submit. One is accepted and
+        # the other's refusal names the version to rebase on. If both
+        # were accepted, the first change would be silently overwritten.
         self.submit()
 
         async def both():
@@ -82,9 +82,9 @@
         self.assertIn("rebase on version 2", losers[0].error.detail)
 
     def test_lost_answers(self):
-        # The store takes a change and its answer is lost, or the
-        # request is. The operator is told what truly stands, and the
-        # change is never accepted twice.
+        # The store commits a change and its answer is lost, or the
+        # request is lost. The operator must get the true outcome, and
+        # the change must not be accepted twice.
         unknown = Code.STORE_OUTCOME_UNKNOWN
         table = [
             ([LOSE_ANSWER], None, 1),
@@ -109,8 +109,8 @@
                 self.assertEqual(len(run(self.log.audit()).ok), 1)
 
     def test_lost_answers_to_the_body(self):
-        # The store takes the body and loses the answer, twice, then is
-        # well. The operator's change must not end there.
+        # The store stores the body and its answer is lost twice, then
+        # it works again. The submission must not fail on that.
         self.store = LossyBodies()
         self.log = ConfigurationLog(self.store, self.store)
         for lost, code in ((2, None), (9, Code.STORE_UNAVAILABLE)):
@@ -122,8 +122,9 @@
                 self.store.rows.clear()
 
     def test_a_lost_answer_and_another_operator(self):
-        # While an operator's answer is lost, a second operator's change
-        # follows on top. The first must still learn that it won.
+        # An operator's answer is lost and a second operator's change is
+        # accepted next. A repeat of the first submission must still
+        # report that it was accepted.
         self.submit()
         self.store.faults.extend([LOSE_ANSWER] + [REFUSE] * 3)
         lost = self.submit(FASTER, 1, "ana-1")
@@ -167,7 +168,7 @@
 
     def test_withdrawals_survive_later_versions(self):
         # An operator's file is older than the withdrawal and doesn't
-        # list it. Taken as it is, it would let the caller in again.
+        # list it. Without a merge the key would be accepted again.
         self.assertEqual(self.withdraw().ok.version, 2)
         self.assertEqual(run(self.log.submit(change(FASTER, 2))).ok.version, 3)
         self.assertEqual(self.withdrawn(), ["a" * 40, "c" * 40])
--- a/redwingpost/configuration/tests/test_parse.py
+++ b/redwingpost/configuration/tests/test_parse.py
@@ -1,4 +1,4 @@
-"""Tests of checking a configuration's body."""
+"""Tests of the validation of a configuration's body."""
 
 from copy import deepcopy
 from json import dumps
@@ -78,7 +78,7 @@
             (PUNO + ("keys",), [{"hash": "a" * 40}], "keys[0].name: miss"),
             (PUNO + ("keys",), "x", "keys: allowed: a list"),
             (MEMBER + ("port",), 0, "port from 1"),
-            (MEMBER + ("ip",), "db.example", "an IP number"),
+            (MEMBER + ("ip",), "db.example", "an IP address"),
             (("groups", "catalogue-1", "members"), {}, "one member or"),
             (("groups", "catalogue-1", "connections"), 1.5, "1 or more"),
             (("groups", "a b"), {}, "allowed: letters"),
@@ -87,7 +87,7 @@
             (("kinds", "order", "long"), 1, "true or false"),
             (("draining_members",), ["catalogue-1-b"], "did you mean"),
             (("site",), "", "site: allowed: text"),
-            (("organisations",), [], "an object by name"),
+            (("organisations",), [], "an object keyed by name"),
         ]
         for path, value, expected in table:
             with self.subTest(path=path, value=value):
@@ -104,7 +104,7 @@
         keys = [{"name": "z", "hash": "b" * 40}]
         table = [
             (("groups", "z"), twin, "is a member of 'catalogue-1' too"),
-            (("groups", "z"), neighbour, "has the address of one in"),
+            (("groups", "z"), neighbour, "has the address of a member of"),
             (PUNO + ("keys",), keys, "is a key of 'diocese-puno' too"),
         ]
         for path, value, expected in table:
--- a/redwingpost/proxy/feed.py
+++ b/redwingpost/proxy/feed.py
@@ -14,7 +14,7 @@
 from redwingpost.adapters.peer import PeerAddress, PeerClients
 from redwingpost.configuration.keys import KeyRing
 from redwingpost.configuration.model import Withdrawal
-from redwingpost.configuration.spread import ConfigurationState, Offer
+from redwingpost.configuration.state import ConfigurationState, OfferResult
 from redwingpost.core import VmAddress
 from redwingpost.ports import Clock
 from redwingpost.proxy.directory import Directory
@@ -179,9 +179,9 @@
         if copy.version == 0:
             return
         offer = self._held.offer(copy)
-        if offer is Offer.BROKEN:
+        if offer is OfferResult.BROKEN:
             logger.error("version {} can't be read", copy.version)
-        if offer is not Offer.TAKEN:
+        if offer is not OfferResult.TAKEN:
             return
         configuration = self._held.configuration
         self._withdraw(configuration.withdrawn)
