--- a/redwingpost/settings/__init__.py
+++ b/redwingpost/settings/__init__.py
@@ -1,6 +1,6 @@
-"""Settings of a process: one TOML file, checked whole, typed.
+"""Settings of a process, read from one TOML file and validated.
 
-The format is listed in ``docs/design/settings.md``.
+``docs/design/settings.md`` describes the format.
 """
 
 from redwingpost.settings.decode import decode_table
--- a/redwingpost/settings/decode.py
+++ b/redwingpost/settings/decode.py
@@ -1,4 +1,4 @@
-"""Turn a parsed TOML table into a NamedTuple, or name what is wrong."""
+"""Decode a parsed TOML table into a NamedTuple, or report the fault."""
 
 from difflib import get_close_matches
 from typing import Any, NamedTuple, get_args, get_origin, get_type_hints
@@ -9,32 +9,32 @@
 
 
 class Table(NamedTuple):
-    """A table to decode and how to name it in messages."""
+    """A table to decode, with its file and name for messages."""
 
     file: str
     name: str
     values: dict[str, Any]
 
 
-def refuse(file: str, key: str, problem: str) -> Refusal:
+def make_refusal(file: str, key: str, problem: str) -> Refusal:
     """Return the refusal of one key of a settings file.
 
     Examples
     --------
-    >>> refuse("vm.toml", "vm.ip", "allowed: an IP number").detail
-    'vm.toml: vm.ip: allowed: an IP number'
+    >>> make_refusal("vm.toml", "vm.ip", "allowed: an IP address").detail
+    'vm.toml: vm.ip: allowed: an IP address'
     """
     return Refusal(Code.SETTINGS_INVALID, f"{file}: {key}: {problem}")
 
 
-def nearest(name: str, known: tuple[str, ...]) -> str:
-    """Return a hint with the nearest known name, or all of them.
+def suggest_name(name: str, known: tuple[str, ...]) -> str:
+    """Return a hint with the closest known name, or with all names.
 
     Examples
     --------
-    >>> nearest("data_center", ("name", "data_centre"))
+    >>> suggest_name("data_center", ("name", "data_centre"))
     "did you mean 'data_centre'?"
-    >>> nearest("x", ("name", "ip"))
+    >>> suggest_name("x", ("name", "ip"))
     'known: ip, name'
     """
     close = get_close_matches(name, known, n=1)
@@ -49,14 +49,14 @@
     Parameters
     ----------
     record : type
-        A NamedTuple class; its annotations say what is allowed.
+        A NamedTuple class; its annotations are the allowed types.
     table : Table
-        The values and their place.
+        The values, with their file and table name.
 
     Returns
     -------
     Result
-        The record, or ``Code.SETTINGS_INVALID`` that names the key.
+        The record, or ``Code.SETTINGS_INVALID`` with the key at fault.
 
     Examples
     --------
@@ -73,13 +73,17 @@
     for key, value in table.values.items():
         where = f"{table.name}.{key}"
         if key not in hints:
-            hint = nearest(key, fields)
-            return Error(refuse(table.file, where, f"unknown key; {hint}"))
+            hint = suggest_name(key, fields)
+            return Error(
+                make_refusal(table.file, where, f"unknown key; {hint}")
+            )
         converted = _convert(hints[key], value)
         if converted is None:
             allowed = describe_type(hints[key])
             return Error(
-                refuse(table.file, where, f"allowed: {allowed}; got {value!r}")
+                make_refusal(
+                    table.file, where, f"allowed: {allowed}; got {value!r}"
+                )
             )
         decoded[key] = converted
     for key in fields:
@@ -87,13 +91,13 @@
             where = f"{table.name}.{key}"
             allowed = describe_type(hints[key])
             return Error(
-                refuse(table.file, where, f"missing; allowed: {allowed}")
+                make_refusal(table.file, where, f"missing; allowed: {allowed}")
             )
     return Ok(record(**decoded))
 
 
 def _convert(hint: Any, value: Any) -> Any:
-    """Return ``value`` as the annotated type, or None if it isn't one."""
+    """Return ``value`` as the annotated type, or None for another type."""
     if get_origin(hint) is tuple:
         return _convert_list(get_args(hint)[0], value)
     if hint is float and type(value) is int:
@@ -109,7 +113,7 @@
 
 
 def describe_type(hint: Any) -> str:
-    """Return in words which TOML values an annotation allows.
+    """Describe the TOML values that an annotation allows.
 
     Examples
     --------
@@ -119,10 +123,10 @@
     if get_origin(hint) is tuple:
         noun = describe_type(get_args(hint)[0]).split(" ", 1)[1]
         return f"a list of {noun}s"
-    words = {
+    descriptions = {
         str: "a string",
         int: "a whole number",
         float: "a number",
         bool: "true or false",
     }
-    return words.get(hint, str(hint))
+    return descriptions.get(hint, str(hint))
--- a/redwingpost/settings/load.py
+++ b/redwingpost/settings/load.py
@@ -1,4 +1,4 @@
-"""Read a settings file, check it whole and resolve its files."""
+"""Read a settings file, validate it and resolve the files it names."""
 
 from collections.abc import Callable
 from ipaddress import ip_address
@@ -12,8 +12,8 @@
 from redwingpost.settings.decode import (
     Table,
     decode_table,
-    nearest,
-    refuse,
+    make_refusal,
+    suggest_name,
 )
 from redwingpost.settings.model import (
     AgentSettings,
@@ -42,15 +42,15 @@
 
 LOG_LEVELS = ("TRACE", "DEBUG", "INFO", "WARNING", "ERROR", "CRITICAL")
 
-#: An HMAC-SHA256 secret shorter than this can be guessed offline from
-#: one token; 16 characters of a random secret hold 64 bits at least.
+#: A shorter HMAC-SHA256 secret could be guessed offline from one token;
+#: 16 characters of a random secret hold at least 64 bits.
 MIN_SECRET_CHARS = 16
 
 
 class Rule(NamedTuple):
-    """What a key's value must keep, in code and in words."""
+    """A condition on a key's value, as a predicate and in words."""
 
-    holds: Callable[[Any], bool]
+    is_valid: Callable[[Any], bool]
     allowed: str
 
 
@@ -81,7 +81,7 @@
 RULES_BY_KEY: dict[str, Rule] = {
     "vm.name": _NAME,
     "vm.data_centre": _NAME,
-    "vm.ip": Rule(_is_ip, "an IP number such as 127.1.1.1"),
+    "vm.ip": Rule(_is_ip, "an IP address such as 127.1.1.1"),
     "proxy.caller_port": _PORT,
     "proxy.peer_port": _PORT,
     "proxy.http_port": _PORT,
@@ -107,51 +107,57 @@
     Parameters
     ----------
     path : str or Path
-        The TOML file. Files that it names are taken relative to it.
+        The TOML file. Paths in it are relative to its directory.
 
     Returns
     -------
     Result
-        The settings, or ``Code.SETTINGS_INVALID`` with file, key and
-        what is allowed.
+        The settings, or ``Code.SETTINGS_INVALID`` with the file, the
+        key and the allowed values.
     """
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        return Error(refuse(str(path), "file", f"can't be read: {error}"))
+        return Error(
+            make_refusal(str(path), "file", f"can't be read: {error}")
+        )
     return parse_settings(text, Path(path))
 
 
 def parse_settings(text: str, path: Path) -> Result[Settings, Refusal]:
-    """Check the text of a settings file that lies at ``path``.
+    """Validate the text of the settings file at ``path``.
 
     Examples
     --------
     >>> text = '[vm]\\nname = "v"\\ndata_centre = "d"\\nip = "x"'
     >>> parse_settings(text, Path("vm.toml")).error.detail
-    "vm.toml: vm.ip: allowed: an IP number such as 127.1.1.1; got 'x'"
+    "vm.toml: vm.ip: allowed: an IP address such as 127.1.1.1; got 'x'"
     """
     try:
         raw = loads(text)
     except TOMLDecodeError as error:
-        return Error(refuse(str(path), "file", f"not TOML: {error}"))
+        return Error(make_refusal(str(path), "file", f"not TOML: {error}"))
     tables: dict[str, Any] = {}
     for name, values in raw.items():
-        decoded = _decode_one(str(path), name, values)
+        decoded = _decode_named_table(str(path), name, values)
         if decoded.is_error():
             return decoded
         tables[name] = decoded.ok
     if "vm" not in tables:
-        return Error(refuse(str(path), "vm", "the table [vm] is missing"))
+        return Error(
+            make_refusal(str(path), "vm", "the table [vm] is missing")
+        )
     return _resolve_files(Settings(**tables), path)
 
 
-def _decode_one(file: str, name: str, values: Any) -> Result[Any, Refusal]:
+def _decode_named_table(
+    file: str, name: str, values: Any
+) -> Result[Any, Refusal]:
     if name not in RECORDS_BY_TABLE:
-        hint = nearest(name, tuple(RECORDS_BY_TABLE))
-        return Error(refuse(file, name, f"unknown table; {hint}"))
+        hint = suggest_name(name, tuple(RECORDS_BY_TABLE))
+        return Error(make_refusal(file, name, f"unknown table; {hint}"))
     if not isinstance(values, dict):
-        return Error(refuse(file, name, f"allowed: a table [{name}]"))
+        return Error(make_refusal(file, name, f"allowed: a table [{name}]"))
     decoded = decode_table(RECORDS_BY_TABLE[name], Table(file, name, values))
     if decoded.is_error():
         return decoded
@@ -161,10 +167,10 @@
 def _check_rules(file: str, name: str, record: Any) -> Result[Any, Refusal]:
     for key, value in record._asdict().items():
         rule = RULES_BY_KEY.get(f"{name}.{key}")
-        if rule is not None and not rule.holds(value):
+        if rule is not None and not rule.is_valid(value):
             shown = "…" if "secret" in key else repr(value)
             problem = f"allowed: {rule.allowed}; got {shown}"
-            return Error(refuse(file, f"{name}.{key}", problem))
+            return Error(make_refusal(file, f"{name}.{key}", problem))
     return Ok(record)
 
 
@@ -185,14 +191,16 @@
 def _read_secrets(
     settings: Settings, path: Path, secrets_path: Path
 ) -> Result[Settings, Refusal]:
-    """Take the token secrets from their file: one a line."""
+    """Read the token secrets from their file, one per line."""
     key = "fleet.token_secrets_file"
     try:
         lines = secrets_path.read_text(encoding="utf-8").split()
     except OSError as error:
-        return Error(refuse(str(path), key, f"can't be read: {error}"))
+        return Error(make_refusal(str(path), key, f"can't be read: {error}"))
     if not lines or not _are_secrets(tuple(lines)):
         allowed = RULES_BY_KEY["fleet.token_secrets"].allowed
-        return Error(refuse(str(path), key, f"allowed: lines, {allowed}"))
+        return Error(
+            make_refusal(str(path), key, f"allowed: lines, {allowed}")
+        )
     fleet = settings.fleet._replace(token_secrets=tuple(lines))
     return Ok(settings._replace(fleet=fleet))
--- a/redwingpost/settings/model.py
+++ b/redwingpost/settings/model.py
@@ -1,14 +1,13 @@
 """The tables of a settings file as typed records.
 
-A field without a default must be given. Ports of 0 mean that the
-process doesn't serve that port.
+A field without a default is required. A port of 0 is not served.
 """
 
 from typing import NamedTuple
 
 
 class VmSettings(NamedTuple):
-    """``[vm]``: who this VM is and where."""
+    """``[vm]``: the VM's name, data centre and IP address."""
 
     name: str
     data_centre: str
@@ -16,14 +15,15 @@
 
 
 class ProxySettings(NamedTuple):
-    """``[proxy]``: the proxy's ports.
+    """``[proxy]``: the proxy's ports and shutdown.
 
-    ``leave_s`` is how long a proxy that stops goes on serving after it
-    turned unready: longer than the balancer's check interval.
+    ``leave_s`` is how long a stopping proxy continues to serve after it
+    reports itself not ready. It must be longer than the load balancer's
+    check interval.
     ``configuration_file`` names a configuration to serve without an
-    agent, for tests. ``homes`` is how many VMs hold connections to one
-    group's members (``redwingpost.routing.homes``); all VMs of a fleet
-    must have the same number.
+    agent, for tests. ``homes`` is the number of VMs that hold
+    connections to one group's members (``redwingpost.routing.homes``);
+    it must be the same on all VMs of a fleet.
     """
 
     caller_port: int = 0
@@ -42,25 +42,25 @@
 
 
 class PlatformSettings(NamedTuple):
-    """``[platform]``: where the table and object service answers."""
+    """``[platform]``: the address of the table and object service."""
 
     url: str = ""
     timeout_s: float = 2.0
 
 
 class TargetSettings(NamedTuple):
-    """``[targets]``: how the system signs in to database members."""
+    """``[targets]``: the credentials for database members."""
 
     user: str = "redwing"
     password: str = ""
 
 
 class FleetSettings(NamedTuple):
-    """``[fleet]``: what all VMs share.
+    """``[fleet]``: settings that all VMs share.
 
-    ``token_secrets`` are the secrets that authenticate session tokens;
-    the first signs, all are accepted. ``key_confirmation_s`` is how long
-    keys are honoured after the last confirmation of the withdrawals.
+    ``token_secrets`` authenticate session tokens: the first one signs,
+    all are accepted. ``key_confirmation_s`` is how long keys are accepted
+    after the last confirmation of the withdrawals.
     """
 
     token_secrets: tuple[str, ...] = ()
@@ -69,7 +69,7 @@
 
 
 class TlsSettings(NamedTuple):
-    """``[tls]``: certificate files, reloaded when they change."""
+    """``[tls]``: the certificate files; they are reloaded on change."""
 
     certificate: str
     private_key: str
@@ -79,19 +79,19 @@
 
 
 class LogSettings(NamedTuple):
-    """``[log]``: how much is logged."""
+    """``[log]``: the log level."""
 
     level: str = "INFO"
 
 
 class FaultSettings(NamedTuple):
-    """``[faults]``: link faults by HTTP, for tests and benches."""
+    """``[faults]``: link faults set over HTTP, for tests and benches."""
 
     enabled: bool = False
 
 
 class Settings(NamedTuple):
-    """A whole settings file; ``tls`` is None where not configured."""
+    """All settings; ``tls`` is None if it isn't configured."""
 
     vm: VmSettings
     proxy: ProxySettings = ProxySettings()
--- a/redwingpost/settings/tests/test_fuzz_settings.py
+++ b/redwingpost/settings/tests/test_fuzz_settings.py
@@ -1,4 +1,4 @@
-"""Settings files with anything in them: read, or refused by number."""
+"""Fuzz tests: any settings file is read or refused, never a crash."""
 
 from pathlib import Path
 from unittest import TestCase
