--- a/redwingpost/node/forwarding/forwarder.py
+++ b/redwingpost/node/forwarding/forwarder.py
@@ -184,7 +184,7 @@
     def take(self, caller: Caller, home: VmAddress | None, done: Done) -> None:
         """Take in what a home tells besides the answer."""
         vm = "" if home is None else home.vm
-        caller.state.trace.note_elsewhere(vm, done.parts)
+        caller.state.trace.note_remote_run(vm, done.parts)
         caller.state.note_commit(done.written)
 
     def _note_refused(self, home: VmAddress, done: Done) -> Refusal | None:
--- a/redwingpost/observability/__init__.py
+++ b/redwingpost/observability/__init__.py
@@ -1,1 +1,1 @@
-"""Logs and metrics of a node."""
+"""Structured logs and statement traces of a VM."""
--- a/redwingpost/observability/journal.py
+++ b/redwingpost/observability/journal.py
@@ -1,9 +1,9 @@
 """Structured log lines on standard output: one JSON object a line.
 
-Writing must never stop the loop: a reader that doesn't read fills the
-pipe, and a blocking write would hold every caller. A line is written
-only while the pipe takes a whole one; what it doesn't take is counted
-and told with the next line.
+Writing must never block the event loop: if the reader of the pipe stops,
+the pipe fills up and a blocking write would delay every caller. A line is
+written only if the pipe is ready for a whole line. Other lines are
+dropped and counted in ``PipeSink.dropped``.
 """
 
 from select import POLLOUT, poll
@@ -14,28 +14,28 @@
 from loguru import logger
 from msgspec.json import encode
 
-from redwingpost.observability.budget import LineBudget
+from redwingpost.observability.rate_limit import LineRateLimiter
 from redwingpost.ports.clock import MonotonicClock
 
-#: Longest line (bytes): a pipe that is ready takes this much whole
-#: (POSIX: PIPE_BUF).
+#: Longest line (bytes): a pipe that is ready accepts this much without
+#: blocking (POSIX: PIPE_BUF).
 MAX_LINE_BYTES = 4096
 
 _clock = MonotonicClock()
-_budget = LineBudget()
+_rate_limiter = LineRateLimiter()
 
 
 class PipeSink:
-    """Writes lines to a file descriptor that may not be read."""
+    """Writes lines to a pipe whose reader may have stopped."""
 
-    def __init__(self, descriptor: Any) -> None:
-        self._file = descriptor
+    def __init__(self, file: Any) -> None:
+        self._file = file
         self._poll = poll()
-        self._poll.register(descriptor, POLLOUT)
+        self._poll.register(file, POLLOUT)
         self.dropped = 0
 
     def write(self, line: str) -> None:
-        """Write a line if that can't block."""
+        """Write a line if the write can't block; else drop it."""
         if not self._poll.poll(0):
             self.dropped += 1
             return
@@ -50,16 +50,16 @@
 
 
 def log_event(kind: str, **fields: Any) -> None:
-    """Write one line.
+    """Write one line, subject to the rate limit of its kind.
 
     Parameters
     ----------
     kind : str
-        What happened; each kind has its own budget of lines.
+        The kind of event; each kind has its own rate limit.
     **fields
-        Inputs that decided, their age or version, and the outcome.
+        The inputs of the decision, their age or version, and the outcome.
     """
-    left_out = _budget.take(kind, _clock.now())
+    left_out = _rate_limiter.take(kind, _clock.now())
     if left_out is None:
         return
     line = {"at": round(time(), 3), "kind": kind, **fields}
--- a/redwingpost/observability/budget.py
+++ b/redwingpost/observability/rate_limit.py
@@ -1,28 +1,27 @@
-"""How many log lines of each kind may be written.
+"""Rate limits on log lines, one for each kind of line.
 
-Load pattern: an organisation sends ten times its rate, and every refusal
-is a line. Logging each would take more of the processor than serving.
-Each kind has its own bucket, so that a flood of one kind can't push out
-the single line that explains another; what is left out is counted and
-told with the next line of the kind.
+If an organisation sends ten times its rate and every refusal is logged,
+logging takes more CPU time than serving. Each kind has its own token
+bucket, so that many lines of one kind don't suppress a single line of
+another. Suppressed lines are counted, and the next line of their kind
+reports the count.
 """
 
-#: Lines a second that one kind may write for long, and at once. Twenty
-#: kinds at their limit are 200 lines a second, about 2% of a core at
-#: 100 microseconds a line.
+#: Sustained lines/s and burst in lines of one kind. Twenty kinds at their
+#: limit write 200 lines/s, about 2% of a core at 100 microseconds a line.
 LINES_PER_S = 10.0
 BURST = 50.0
 
 
-class LineBudget:
-    """Token buckets by kind of line.
+class LineRateLimiter:
+    """Token buckets for log lines, one for each kind.
 
     Examples
     --------
-    >>> budget = LineBudget(per_s=1.0, burst=1.0)
-    >>> budget.take("refused", 0.0), budget.take("refused", 0.0)
+    >>> limiter = LineRateLimiter(per_s=1.0, burst=1.0)
+    >>> limiter.take("refused", 0.0), limiter.take("refused", 0.0)
     (0, None)
-    >>> budget.take("refused", 1.5)
+    >>> limiter.take("refused", 1.5)
     1
     """
 
@@ -35,12 +34,13 @@
         self._left_out_by_kind: dict[str, int] = {}
 
     def take(self, kind: str, now: float) -> int | None:
-        """Claim a line; return how many were left out before it.
+        """Take a token for one line of a kind.
 
         Returns
         -------
         int or None
-            None where the line must be left out.
+            How many lines of the kind were suppressed since its last
+            line; None if this line must be suppressed too.
         """
         tokens, at = self._tokens_by_kind.get(kind, (self._burst, now))
         tokens = min(self._burst, tokens + (now - at) * self._per_s)
--- a/redwingpost/observability/trace.py
+++ b/redwingpost/observability/trace.py
@@ -1,17 +1,17 @@
-"""Where a statement's time goes: the inputs of its log line.
+"""The parts of a statement's latency, for its log line.
 
-A late statement waited for a connection, or ran long at its member, or
-was tried several times. Without the parts a log line can only say that
-it was late.
+A statement is late because it waited for a connection, ran long at its
+member or was tried several times. The parts in the log line show which.
 """
 
 from typing import NamedTuple
 
 
 class RunParts(NamedTuple):
-    """What another VM tells of a statement that it ran for this one.
+    """The trace of a statement that another VM ran for this one.
 
-    ``waited_s`` for connections and ``ran_s`` at members are seconds.
+    ``waited_s`` is the time spent waiting for connections, ``ran_s`` the
+    time at members (seconds).
     """
 
     member: str
@@ -22,7 +22,7 @@
 
 
 class StatementTrace:
-    """Parts of the time of one statement (seconds).
+    """Accumulates the parts of one statement's latency (seconds).
 
     Examples
     --------
@@ -58,11 +58,11 @@
         return self._sent > 0
 
     def note_sent(self) -> None:
-        """Note that a member gets the statement."""
+        """Note that the statement is sent to a member."""
         self._sent += 1
 
     def note_not_run(self) -> None:
-        """Note that a member says that it hasn't run the statement."""
+        """Note that a member answered that it didn't run the statement."""
         self._sent -= 1
 
     def note_wait(self, member: str, seconds: float) -> None:
@@ -71,13 +71,13 @@
         self._waited_s += seconds
 
     def note_run(self, member: str, seconds: float) -> None:
-        """Note that a member was asked, and for how long."""
+        """Note one try at a member and its duration."""
         self._member = member
         self._tries += 1
         self._ran_s += seconds
 
-    def note_elsewhere(self, vm: str, parts: RunParts) -> None:
-        """Note what another VM did with the statement."""
+    def note_remote_run(self, vm: str, parts: RunParts) -> None:
+        """Add the parts of a run that another VM did for this one."""
         self._home = vm or self._home
         self._member = parts.member
         self._tries += parts.tries
@@ -86,7 +86,7 @@
         self._sent += parts.may_have_run
 
     def parts(self) -> RunParts:
-        """Return what to tell the VM for which the statement ran."""
+        """Return the parts, to send to the VM that forwarded it."""
         return RunParts(
             self._member,
             self._tries,
@@ -96,12 +96,12 @@
         )
 
     def describe(self) -> dict[str, str | int | float]:
-        """Return the fields of a log line; of several members the last.
+        """Return the fields of a log line.
 
-        Two members that were asked side by side both count: the parts
-        may add up to more than the whole.
-
-        ``home`` is the VM that ran the statement for this one, if any did.
+        ``member`` is the last of several members. Tries that ran at two
+        members in parallel both count, so that the parts may add up to
+        more than the total. ``home`` is the VM that ran the statement for
+        this one, if any.
         """
         fields = {
             "member": self._member,
