--- a/redwingpost/cli/ctl.py
+++ b/redwingpost/cli/ctl.py
@@ -25,7 +25,7 @@
 from redwingpost.configuration.model import Withdrawal
 from redwingpost.configuration.parse import parse_configuration
 from redwingpost.core import Code, Refusal
-from redwingpost.operator import Desk, make_key
+from redwingpost.operator import OperatorActions, make_key
 from redwingpost.settings import load_settings
 
 app = Typer(
@@ -106,14 +106,14 @@
     """
     change = make_change(context.obj, file.read_bytes(), submission)
 
-    async def work(desk: Desk) -> Result:
+    async def work(actions: OperatorActions) -> Result:
         if base != "latest":
-            return await desk.submit(change._replace(base=int(base)))
-        head = await desk.log.head_row()
+            return await actions.submit(change._replace(base=int(base)))
+        head = await actions.log.head_row()
         if head.is_error():
             return head
         latest = int(head.ok.value["version"]) if head.ok else 0
-        return await desk.submit(change._replace(base=latest))
+        return await actions.submit(change._replace(base=latest))
 
     _show_accepted(context, run_work(context.obj, work))
 
@@ -124,7 +124,7 @@
     version: Annotated[int, Argument(help="0 for the newest.")] = 0,
 ) -> None:
     """Print a version's body."""
-    found = run_work(context.obj, lambda desk: _version(desk, version))
+    found = run_work(context.obj, lambda actions: _version(actions, version))
     echo(found.body.decode())
 
 
@@ -132,11 +132,11 @@
 def diff(context: Context, old: int, new: int) -> None:
     """Show what changed from version OLD to version NEW."""
 
-    async def work(desk: Desk) -> Result:
-        before = await _version(desk, old)
+    async def work(actions: OperatorActions) -> Result:
+        before = await _version(actions, old)
         if before.is_error():
             return before
-        after = await _version(desk, new)
+        after = await _version(actions, new)
         return after.map(lambda v: describe_changes(before.ok.body, v.body))
 
     lines = run_work(context.obj, work)
@@ -149,7 +149,7 @@
     after: Annotated[int, Option(help="Only versions above this.")] = 0,
 ) -> None:
     """Show the audit trail: who changed what, when, from which version."""
-    rows = run_work(context.obj, lambda desk: desk.log.audit(after))
+    rows = run_work(context.obj, lambda actions: actions.log.audit(after))
     entries = [{"version": int(row.key), **row.value} for row in rows]
     table = Table("version", "from", "when", "who", "what")
     for entry in entries:
@@ -181,7 +181,9 @@
         return None
 
     change = make_change(context.obj)
-    accepted = run_work(context.obj, lambda desk: desk.amend(edit, change))
+    accepted = run_work(
+        context.obj, lambda actions: actions.amend(edit, change)
+    )
     shown = {
         "version": accepted.version,
         "key": new.key,
@@ -203,12 +205,12 @@
     """
     change = make_change(context.obj)
 
-    async def work(desk: Desk) -> Any:
-        key_hash = await _find_hash(desk, organisation, key)
+    async def work(actions: OperatorActions) -> Any:
+        key_hash = await _find_hash(actions, organisation, key)
         if key_hash.is_error():
             return key_hash
         withdrawal = Withdrawal(organisation, key_hash.ok)
-        return await desk.withdraw([withdrawal], change)
+        return await actions.withdraw([withdrawal], change)
 
     told, recorded = run_work(context.obj, work)
     shown = {
@@ -240,7 +242,7 @@
     Example: redwingctl drain catalogue-1-b
     """
     if vm:
-        run_work(context.obj, lambda desk: _drain_vm(desk, name))
+        run_work(context.obj, lambda actions: _drain_vm(actions, name))
         show_result(context.obj, {"draining": name}, f"{name} drains")
         return
 
@@ -252,7 +254,8 @@
 
     change = make_change(context.obj)
     _show_accepted(
-        context, run_work(context.obj, lambda desk: desk.amend(edit, change))
+        context,
+        run_work(context.obj, lambda actions: actions.amend(edit, change)),
     )
 
 
@@ -260,8 +263,8 @@
 def status(context: Context) -> None:
     """Show every VM, and where the newest version isn't in force."""
 
-    async def work(desk: Desk) -> Any:
-        return await desk.status()
+    async def work(actions: OperatorActions) -> Any:
+        return await actions.status()
 
     version, lines = run_work(context.obj, work)
     table = Table(
@@ -293,19 +296,21 @@
     show_result(context.obj, shown, table)
 
 
-async def _version(desk: Desk, number: int) -> Result:
+async def _version(actions: OperatorActions, number: int) -> Result:
     if number:
-        return await desk.log.version(number)
-    head = await desk.log.head()
+        return await actions.log.version(number)
+    head = await actions.log.head()
     return head.map(lambda found: found.version)
 
 
-async def _find_hash(desk: Desk, organisation: str, key: str) -> Result:
+async def _find_hash(
+    actions: OperatorActions, organisation: str, key: str
+) -> Result:
     """Return a key's hash; a hash is taken as it is."""
     from_hash = Withdrawal(organisation, key)
     if len(key) == 40 and all(c in "0123456789abcdef" for c in key):
         return Ok(from_hash.key_hash)
-    head = await desk.log.head()
+    head = await actions.log.head()
     if head.is_error():
         return head
     parsed = parse_configuration(head.ok.version.body)
@@ -316,12 +321,12 @@
     return Ok(found.keys_by_name[key].key_hash)
 
 
-async def _drain_vm(desk: Desk, vm: str) -> Result:
-    sightings = await desk.agents.sightings()
+async def _drain_vm(actions: OperatorActions, vm: str) -> Result:
+    sightings = await actions.agents.sightings()
     if vm not in sightings:
         return Error(Refusal(Code.NOT_FOUND, f"no VM {vm!r}"))
     beat = sightings[vm].beat
-    return await desk.agents.call(
+    return await actions.agents.call(
         PeerAddress(beat.ip, beat.agent_port),
         lambda node: node.fleet().fleet.drain(vm=vm),
     )
--- a/redwingpost/cli/ctl_usage.py
+++ b/redwingpost/cli/ctl_usage.py
@@ -11,7 +11,7 @@
 from redwingpost.operator.usage import (
     Series,
     UsageLine,
-    grown,
+    count_increase,
     read_counts,
     summarise,
 )
@@ -48,7 +48,7 @@
         before = await _read_all(nodes)
         await sleep(seconds)
     after = await _read_all(nodes)
-    return summarise(map(grown, before, after))
+    return summarise(map(count_increase, before, after))
 
 
 async def _read_all(nodes: tuple[str, ...]) -> list[dict[Series, int]]:
--- a/redwingpost/cli/ctl_work.py
+++ b/redwingpost/cli/ctl_work.py
@@ -18,7 +18,7 @@
 from redwingpost.configuration.acceptance import Change
 from redwingpost.configuration.diff import canonical
 from redwingpost.core import Refusal
-from redwingpost.operator import Agents, Desk
+from redwingpost.operator import Agents, OperatorActions
 from redwingpost.settings import PlatformSettings, Settings
 
 #: Exit status where something was refused, as distinct from 2, a wrong
@@ -49,9 +49,11 @@
     )
 
 
-def run_work(given: Options, work: Callable[[Desk], Awaitable[Any]]) -> Any:
+def run_work(
+    given: Options, work: Callable[[OperatorActions], Awaitable[Any]]
+) -> Any:
     """Do an operator's work; a refusal ends the program with status 1."""
-    result = run(_with_desk(given, work))
+    result = run(_with_actions(given, work))
     if not isinstance(result, Result):
         return result
     if result.is_error():
@@ -59,8 +61,8 @@
     return result.ok
 
 
-async def _with_desk(
-    given: Options, work: Callable[[Desk], Awaitable[Any]]
+async def _with_actions(
+    given: Options, work: Callable[[OperatorActions], Awaitable[Any]]
 ) -> Any:
     settings = given.settings
     tls = TlsContexts(settings.tls if settings else None)
@@ -74,7 +76,7 @@
         clients = PeerClients("", tls)
         try:
             reachable = Agents(clients, platform, agents)
-            return await work(Desk(platform, platform, reachable))
+            return await work(OperatorActions(platform, platform, reachable))
         finally:
             clients.close()
             await platform.on_stop()
--- a/redwingpost/operator/__init__.py
+++ b/redwingpost/operator/__init__.py
@@ -1,4 +1,4 @@
-"""What operators work with: the library that prints a configuration.
+"""The operators' library: describe, print and submit a configuration.
 
 An operator's program describes the site and prints it:
 
@@ -15,17 +15,21 @@
 ``print(site)`` then writes the JSON that ``redwingctl submit`` takes.
 """
 
-from redwingpost.operator.desk import Agents, Desk, Told
+from redwingpost.operator.actions import (
+    Agents,
+    NotificationResult,
+    OperatorActions,
+)
 from redwingpost.operator.keys import NewKey, make_key
 from redwingpost.operator.site import GroupSpec, OrganisationSpec, Site
 
 __all__ = [
     "Agents",
-    "Desk",
     "GroupSpec",
     "NewKey",
+    "NotificationResult",
+    "OperatorActions",
     "OrganisationSpec",
     "Site",
-    "Told",
     "make_key",
 ]
--- a/redwingpost/operator/desk.py
+++ b/redwingpost/operator/actions.py
@@ -1,9 +1,10 @@
-"""What ``redwingctl`` does: against the store, and with the agents.
+"""The actions of ``redwingctl`` on the store and the agents.
 
-The store decides what is accepted. Agents are told at once, one in each
-data centre, so that a change doesn't wait for the next look at the
-store; withdrawals are told to agents first, since they count from the
-first agent that knows.
+The store decides which changes are accepted. One agent in each data
+centre is notified of an accepted change, so that it takes effect before
+the agents next poll the store. Withdrawals are sent to the agents without
+waiting for the store, since they take effect from the first agent that
+receives them.
 """
 
 from asyncio import gather
@@ -33,72 +34,74 @@
     encode_withdrawals,
 )
 
-#: Seconds an agent has to answer an operator.
-AGENT_LIMIT_S = 2.0
+#: Limit on one call to an agent.
+AGENT_TIMEOUT_S = 2.0
 
 
-class Told(NamedTuple):
-    """Which agents took news, by data centre, and where none did."""
+class NotificationResult(NamedTuple):
+    """The agents notified, and the data centres where none answered."""
 
     vms_by_data_centre: dict[str, str]
     missed: tuple[str, ...]
 
 
 class Agents:
-    """The agents that an operator can reach.
+    """The agents that an operator can call.
 
     Parameters
     ----------
     clients : PeerClients
-        For the calls.
+        Clients for the calls.
     vm_list : VmList
-        Where agents are found.
-    given : tuple of PeerAddress
-        Agents to ask as well; needed while the list is away.
+        The list of VMs with the addresses of their agents.
+    known_addresses : tuple of PeerAddress
+        Agents to try first; required while the list is unavailable.
     """
 
     def __init__(
         self,
         clients: PeerClients,
         vm_list: VmList,
-        given: tuple[PeerAddress, ...] = (),
+        known_addresses: tuple[PeerAddress, ...] = (),
     ) -> None:
         self._clients = clients
         self._vm_list = vm_list
-        self._given = given
+        self._known_addresses = known_addresses
 
     async def call(
         self, address: PeerAddress, method: Callable[[Any], Any]
     ) -> Result[Any, Refusal]:
         """Call one agent."""
-        return await self._clients.call(address, method, AGENT_LIMIT_S)
+        return await self._clients.call(address, method, AGENT_TIMEOUT_S)
 
     async def sightings(self) -> dict[str, Sighting]:
         """Return the latest sighting of each VM, from the relays.
 
-        One agent names the relays; each relay knows its data centre's
-        VMs from their own heartbeats. So 14 calls do for 1,000 VMs.
+        One agent names the relays; each relay receives the heartbeats of
+        its data centre's VMs. 14 calls are enough for 1,000 VMs.
         """
-        first = await self._first_sightings()
+        first = await self._initial_sightings()
         relays = [s.beat for s in first.values() if s.beat.relay]
-        answers = await gather(*(self._ask(_address(b)) for b in relays))
+        answers = await gather(
+            *(self._fetch_sightings(_address(b)) for b in relays)
+        )
         found = list(first.values())
         for answer in answers:
             found.extend(answer)
         return latest_sightings(found)
 
-    async def _first_sightings(self) -> dict[str, Sighting]:
+    async def _initial_sightings(self) -> dict[str, Sighting]:
         listed = await self._vm_list.vms()
         entries = listed.ok if listed.is_ok() else ()
         addresses = [PeerAddress(e.ip, e.agent_port) for e in entries]
-        heard: dict[str, Sighting] = {}
-        for address in dict.fromkeys([*self._given, *addresses]):
-            answer = await self._ask(address)
+        sightings_by_vm: dict[str, Sighting] = {}
+        for address in dict.fromkeys([*self._known_addresses, *addresses]):
+            answer = await self._fetch_sightings(address)
             if answer:
-                heard = latest_sightings(answer)
+                sightings_by_vm = latest_sightings(answer)
                 break
         for entry in entries:
-            unheard = Beat(
+            placeholder = Beat(
                 vm=entry.vm,
                 data_centre=entry.data_centre,
                 ip=entry.ip,
@@ -107,30 +110,35 @@
                 incarnation=0,
                 sequence=0,
             )
-            heard.setdefault(entry.vm, Sighting(unheard, float("inf")))
-        return heard
+            sightings_by_vm.setdefault(
+                entry.vm, Sighting(placeholder, float("inf"))
+            )
+        return sightings_by_vm
 
-    async def _ask(self, address: PeerAddress) -> list[Sighting]:
+    async def _fetch_sightings(self, address: PeerAddress) -> list[Sighting]:
         answer = await self.call(address, lambda n: n.fleet().fleet.members())
         if answer.is_error():
             return []
         return [Sighting(*decode_beat(reader)) for reader in answer.ok.beats]
 
-    async def tell(self, method: Callable[[Any], Any]) -> Told:
-        """Call one agent in each data centre, the relay if it answers."""
+    async def notify(self, method: Callable[[Any], Any]) -> NotificationResult:
+        """Call one agent in each data centre, preferably the relay."""
         beats = [s.beat for s in (await self.sightings()).values()]
-        centres = sorted({beat.data_centre for beat in beats})
-        told = await gather(
-            *(self._tell_one(beats, centre, method) for centre in centres)
+        data_centres = sorted({beat.data_centre for beat in beats})
+        notified = await gather(
+            *(
+                self._notify_data_centre(beats, data_centre, method)
+                for data_centre in data_centres
+            )
         )
-        vms = {c: vm for c, vm in zip(centres, told) if vm}
-        missed = tuple(c for c in centres if c not in vms)
-        return Told(vms, missed)
+        vms = {c: vm for c, vm in zip(data_centres, notified) if vm}
+        missed = tuple(c for c in data_centres if c not in vms)
+        return NotificationResult(vms, missed)
 
-    async def _tell_one(
-        self, beats: list[Beat], centre: str, method: Callable[[Any], Any]
+    async def _notify_data_centre(
+        self, beats: list[Beat], data_centre: str, method: Callable[[Any], Any]
     ) -> str:
-        candidates = [b for b in beats if b.data_centre == centre]
+        candidates = [b for b in beats if b.data_centre == data_centre]
         candidates.sort(key=lambda b: (not b.relay, b.gone, b.vm))
         for beat in candidates:
             answer = await self.call(_address(beat), method)
@@ -139,15 +147,15 @@
         return ""
 
 
-class Desk:
-    """An operator's actions.
+class OperatorActions:
+    """The actions that an operator can take.
 
     Parameters
     ----------
-    tables, objects : ports
+    tables, objects : TableService, ObjectStore
         The platform's store.
     agents : Agents
-        Who is told.
+        The agents to notify.
     """
 
     def __init__(
@@ -157,19 +165,19 @@
         self.agents = agents
 
     async def submit(self, change: Change) -> Result[Accepted, Refusal]:
-        """Have a change accepted and tell the agents."""
+        """Submit a change; notify the agents if it is accepted."""
         accepted = await self.log.submit(change)
         if accepted.is_ok():
             await self.announce(accepted.ok.version)
         return accepted
 
-    async def announce(self, number: int) -> Told | None:
-        """Give a version to one agent in each data centre."""
+    async def announce(self, number: int) -> NotificationResult | None:
+        """Send a version to one agent in each data centre."""
         version = await self.log.version(number)
         if version.is_error():
             return None
         copy = encode_version(version.ok)
-        return await self.agents.tell(
+        return await self.agents.notify(
             lambda n: n.fleet().fleet.accepted(configuration=copy)
         )
 
@@ -177,21 +185,21 @@
         self,
         edit: Callable[[dict[str, Any]], Refusal | None],
         change: Change,
-        rebases: int = 5,
+        max_rebases: int = 5,
     ) -> Result[Accepted, Refusal]:
         """Edit the newest version and submit it, rebasing on conflicts.
 
         Parameters
         ----------
         edit : callable
-            Changes the body in place, or returns why it can't.
+            Changes the body in place, or returns a refusal.
         change : Change
             Who and when; body and base are filled in here.
-        rebases : int
-            How often to start over where another version came first.
+        max_rebases : int
+            Number of tries when another version is accepted first.
         """
         result: Result[Accepted, Refusal] = Error(Refusal(Code.NOT_FOUND))
-        for attempt in range(rebases):
+        for attempt in range(max_rebases):
             head = await self.log.head()
             if head.is_error():
                 return head
@@ -205,49 +213,50 @@
                     submission=f"{change.submission}-{attempt}",
                 )
             )
-            conflicted = (
+            is_conflict = (
                 result.is_error() and result.error.code == Code.CONFIG_CONFLICT
             )
-            if not conflicted:
+            if not is_conflict:
                 return result
         return result
 
     async def withdraw(
         self, withdrawals: Iterable[Withdrawal], change: Change
-    ) -> tuple[Told, Result[Accepted, Refusal]]:
-        """Withdraw keys: at the agents first, then in the store.
+    ) -> tuple[NotificationResult, Result[Accepted, Refusal]]:
+        """Withdraw keys at the agents and in the store concurrently.
 
-        Either is enough for the withdrawal to count: agents spread it
-        and record it later, and relays find it in the store.
+        Either one is enough for the withdrawal to take effect: agents
+        spread it and record it later, and relays read it from the store.
         """
         wanted = tuple(withdrawals)
         known = encode_withdrawals(wanted)
-        told, recorded = await gather(
-            self.agents.tell(
+        notified, recorded = await gather(
+            self.agents.notify(
                 lambda n: n.fleet().fleet.withdrawals(known=known)
             ),
             self.log.withdraw(wanted, change),
         )
         if recorded.is_ok():
             await self.announce(recorded.ok.version)
-        return told, recorded
+        return notified, recorded
 
     async def status(self) -> tuple[int, list[VmReport]]:
-        """Return the version that should be in force and every VM's line.
+        """Return the version that should be in force and all VM reports.
 
-        With the store away that is the highest version any VM holds.
+        While the store is unavailable, that is the highest version that
+        any VM has.
         """
         row = await self.log.head_row()
         sightings = await self.agents.sightings()
-        held = [s.beat.config_version for s in sightings.values()]
+        versions = [s.beat.config_version for s in sightings.values()]
         if row.is_ok() and row.ok is not None:
-            held.append(int(row.ok.value["version"]))
-        version = max(held, default=0)
-        lines = [
+            versions.append(int(row.ok.value["version"]))
+        version = max(versions, default=0)
+        reports = [
             report_vm(sighting, version)
             for _, sighting in sorted(sightings.items())
         ]
-        return version, lines
+        return version, reports
 
 
 def _address(beat: Beat) -> PeerAddress:
@@ -258,7 +267,7 @@
     version: Versioned, edit: Callable[[dict[str, Any]], Refusal | None]
 ) -> Result[bytes, Refusal]:
     if version.version == 0:
-        return Error(Refusal(Code.NOT_FOUND, "no version stands"))
+        return Error(Refusal(Code.NOT_FOUND, "no version exists yet"))
     body = loads(version.body)
     refusal = edit(body)
     if refusal is not None:
--- a/redwingpost/operator/keys.py
+++ b/redwingpost/operator/keys.py
@@ -1,24 +1,24 @@
-"""New keys: made at random, shown once, kept only as a hash."""
+"""New keys: generated at random, shown once, stored only as a hash."""
 
 from secrets import token_urlsafe
 from typing import NamedTuple
 
 from redwingpost.configuration.keys import hash_key
 
-#: Random bytes of a key. The configuration keeps a fast hash, which an
-#: attacker who reads it may try guesses against; 160 random bits can't
-#: be guessed at any speed.
+#: Random bytes of a key. The configuration stores a fast hash, which
+#: allows offline guesses by anyone who reads it; 160 random bits make a
+#: brute-force search infeasible.
 KEY_BYTES = 20
 
 
 class NewKey(NamedTuple):
-    """A key and the hash that the configuration keeps of it."""
+    """A key and the hash that the configuration stores."""
 
     key: str
     key_hash: str
 
     def __repr__(self) -> str:
-        """Leave the key out: reprs end up in logs."""
+        """Omit the key, since a repr may be logged."""
         return f"NewKey(key_hash={self.key_hash!r})"
 
 
--- a/redwingpost/operator/refusals.py
+++ b/redwingpost/operator/refusals.py
@@ -1,8 +1,8 @@
-"""Why callers were refused or served late, from the nodes' log lines.
+"""Causes of refused and late requests, counted from the VMs' log lines.
 
-Each VM writes a line for each refusal and each late answer, with what
-decided it. Counted by cause and by span of time, the lines of all VMs show
-which trouble cost callers most, and when to look closer.
+Each VM logs each refusal and each late answer with the inputs of the
+decision. The lines of all VMs, counted by cause and by span of time, show
+which cause affected callers most, and when.
 """
 
 from collections import Counter
@@ -12,25 +12,25 @@
 from msgspec import DecodeError
 from msgspec.json import decode
 
-#: Seconds of one column of the table.
+#: Width of one column of the table.
 SPAN_S = 2.0
 
-#: Kinds of lines that are about one request which fared badly.
+#: Kinds of log lines about one refused or late request.
 _REFUSED = "statement-refused"
 _LATE = "statement-late"
 _OVER_RATE = "over-rate"
-_NO_SESSION = "session-refused"
+_SESSION_REFUSED = "session-refused"
 
 
 class Cause(NamedTuple):
-    """Why a request fared badly: a result code, and what explains it."""
+    """The cause of a refused or late request: a code and its detail."""
 
     code: str
     detail: str
 
 
 class CauseLine(NamedTuple):
-    """Requests of one cause; ``count_by_span`` by the span's begin (s)."""
+    """Requests of one cause; ``count_by_span`` by the span's start (s)."""
 
     cause: Cause
     count: int
@@ -40,8 +40,7 @@
 def read_line(line: str) -> dict[str, Any] | None:
     """Return the fields of a log line; None for anything else.
 
-    Whatever stands before the JSON object (a time, the VM's name) is left
-    out.
+    Text before the JSON object (a time, the VM's name) is ignored.
 
     Examples
     --------
@@ -56,13 +55,13 @@
     try:
         fields = decode(line[begin:])
     except DecodeError:
-        # Lines of other programs stand between those of the nodes.
+        # The log may also contain lines of other programs.
         return None
     return fields if isinstance(fields, dict) else None
 
 
 def find_cause(fields: dict[str, Any]) -> Cause | None:
-    """Return why a request fared badly; None for lines of other kinds.
+    """Return a line's cause; None for lines of other kinds.
 
     Examples
     --------
@@ -75,7 +74,7 @@
         return Cause("over-rate", _explain_rate(fields))
     if kind == _LATE:
         return Cause("late", _explain_late(fields))
-    if kind == _NO_SESSION:
+    if kind == _SESSION_REFUSED:
         return Cause(str(fields.get("code")), "no session")
     if kind == _REFUSED:
         return Cause(str(fields.get("code")), _explain_refusal(fields))
@@ -90,7 +89,7 @@
     Parameters
     ----------
     lines : iterable of str
-        Lines of all nodes, in any order.
+        Log lines of all VMs, in any order.
     span_s : float, optional
         Seconds of one span.
     """
@@ -100,35 +99,40 @@
         cause = find_cause(fields) if fields is not None else None
         if cause is None:
             continue
-        # A node that had more to say than its budget says how much more.
+        # ``left_out`` counts lines that the rate limit suppressed.
         weight = 1 + int(fields.get("left_out", 0))
         begin = float(fields.get("at", 0.0)) // span_s * span_s
         counts[cause, begin] += weight
     causes = {cause for cause, _ in counts}
-    found = [_line_of(cause, counts) for cause in causes]
+    found = [_make_line(cause, counts) for cause in causes]
     return tuple(sorted(found, key=lambda item: (-item.count, item.cause)))
 
 
-def _line_of(cause: Cause, counts: Counter[tuple[Cause, float]]) -> CauseLine:
+def _make_line(
+    cause: Cause, counts: Counter[tuple[Cause, float]]
+) -> CauseLine:
     count_by_span = {
         begin: count
-        for (of_cause, begin), count in sorted(counts.items())
-        if of_cause == cause
+        for (line_cause, begin), count in sorted(counts.items())
+        if line_cause == cause
     }
     return CauseLine(cause, sum(count_by_span.values()), count_by_span)
 
 
 def _explain_refusal(fields: dict[str, Any]) -> str:
     detail = str(fields.get("detail", ""))
-    # A member's own refusal names the member: one cause, not one each.
-    return "a member's word" if detail == fields.get("member") else detail
+    # The detail of a member's own refusal is the member's name. A common
+    # text counts the refusals of all members as one cause.
+    return (
+        "refused by the member" if detail == fields.get("member") else detail
+    )
 
 
 def _explain_rate(fields: dict[str, Any]) -> str:
     is_below = fields.get("demand_per_s", 0.0) <= fields.get("rate", 0.0)
-    asked = "below the rate" if is_below else "above the rate"
+    demand = "below the rate" if is_below else "above the rate"
     whole = fields.get("part", 1.0) >= 1.0
-    return f"{asked}, {'whole fleet' if whole else 'part of the fleet'}"
+    return f"{demand}, {'whole fleet' if whole else 'part of the fleet'}"
 
 
 def _explain_late(fields: dict[str, Any]) -> str:
--- a/redwingpost/operator/site.py
+++ b/redwingpost/operator/site.py
@@ -1,4 +1,4 @@
-"""The description of a site, written by operators in Python."""
+"""Classes with which operators describe a site in Python."""
 
 from json import dumps
 from typing import Any
@@ -43,7 +43,7 @@
         self._groups: list[str] = []
 
     def may_reach(self, *groups: GroupSpec) -> None:
-        """Grant database groups."""
+        """Grant access to database groups."""
         self._groups.extend(group.name for group in groups)
 
     def key(self, name: str, key_hash: str) -> None:
@@ -60,7 +60,7 @@
 
 
 class Site:
-    """A whole site; printing it prints the configuration.
+    """A site; printing it prints its configuration.
 
     Parameters
     ----------
@@ -83,7 +83,7 @@
         self._draining: list[str] = []
 
     def group(self, name: str, connections: int) -> GroupSpec:
-        """Add a database group; ``connections`` is each member's limit.
+        """Add a database group; ``connections`` is the limit per member.
 
         Raises
         ------
@@ -100,13 +100,13 @@
         Parameters
         ----------
         name : str
-            Its name, which callers sign in with.
+            The name that callers sign in with.
         rate : float
-            Statements a second over the whole fleet.
+            Statements/s over the whole fleet.
         burst : float
-            Statements that may come at once.
+            Statements that may arrive at once.
         weight : float
-            Its part of a full target, against others' weights.
+            Its share of an overloaded target, relative to other weights.
 
         Raises
         ------
@@ -126,8 +126,8 @@
     ) -> None:
         """Describe a request kind.
 
-        ``unconfirmed`` says what happens to a write that no second
-        member confirmed in time: ``refuse`` or ``accept``.
+        ``unconfirmed`` is the action for a write that no second member
+        confirmed in time: ``refuse`` or ``accept``.
 
         Raises
         ------
@@ -143,13 +143,13 @@
         _add(self._kinds, name, described)
 
     def withdraw(self, organisation: str, key_hash: str) -> None:
-        """Withdraw a key for good."""
+        """Withdraw a key permanently."""
         self._withdrawn.append(
             {"organisation": organisation, "hash": key_hash}
         )
 
     def drain(self, *members: str) -> None:
-        """Send no new work to members that are leaving."""
+        """Drain members: they get no new statements."""
         self._draining.extend(members)
 
     def as_json(self) -> dict[str, Any]:
@@ -169,7 +169,7 @@
         }
 
     def check(self) -> Result[Configuration, Refusal]:
-        """Check the description as ``redwingctl submit`` would."""
+        """Validate the description as ``redwingctl submit`` does."""
         return parse_configuration(str(self).encode())
 
     def __str__(self) -> str:
--- a/redwingpost/operator/tests/test_site.py
+++ b/redwingpost/operator/tests/test_site.py
@@ -39,7 +39,7 @@
 
 class MakeKeyTest(TestCase):
     def test_a_key_is_not_in_its_repr(self):
-        # Whoever logs a record by accident must not log a caller's key.
+        # A record that is logged by accident must not reveal the key.
         new = make_key()
         self.assertEqual(new.key_hash, hash_key(new.key))
         self.assertNotIn(new.key, repr(new))
--- a/redwingpost/operator/usage.py
+++ b/redwingpost/operator/usage.py
@@ -1,8 +1,8 @@
-"""Who overloads a shared group: offered, granted and refused, by whom.
+"""Operations offered, granted and refused per organisation and group.
 
-The owner of a group sees its members full and every organisation blames
-another. Each node counts what was offered to it and what admission
-decided; the difference of two readings of all nodes is the answer.
+They show which organisation overloads a shared group. Each VM counts the
+operations offered to it by admission outcome; the increase between two
+readings of all VMs is the usage in that span.
 """
 
 from collections import Counter
@@ -11,14 +11,14 @@
 
 from prometheus_client.parser import text_string_to_metric_families
 
-#: Name of the counter on the nodes' metrics pages, and the outcome of an
-#: operation that may run.
+#: Name of the counter on the VMs' metrics pages, and its outcome label for
+#: an admitted operation.
 _METRIC = "redwing_operations_total"
 _GRANTED = "granted"
 
 
 class Series(NamedTuple):
-    """What one count of a node is about."""
+    """The labels of one counter of a VM."""
 
     organisation: str
     group: str
@@ -36,12 +36,12 @@
 
 
 def read_counts(page: str) -> dict[Series, int]:
-    """Return the counts of one node's metrics page.
+    """Return the counts of one VM's metrics page.
 
     Raises
     ------
     ValueError
-        Where the page isn't in the metrics' text format.
+        If the page isn't in the Prometheus text format.
 
     Examples
     --------
@@ -61,20 +61,20 @@
     }
 
 
-def grown(
+def count_increase(
     before: Mapping[Series, int], after: Mapping[Series, int]
 ) -> Counter[Series]:
-    """Return what one node counted between two readings.
+    """Return the increase of one VM's counters between two readings.
 
-    A node that started again counts from zero: what it has now came
-    after the first reading.
+    The counters of a restarted process start from zero: all of its counts
+    are from after the first reading.
 
     Examples
     --------
     >>> series = Series("a", "g", "granted")
-    >>> grown({series: 5}, {series: 8})[series]
+    >>> count_increase({series: 5}, {series: 8})[series]
     3
-    >>> grown({series: 5}, {series: 2})[series]
+    >>> count_increase({series: 5}, {series: 2})[series]
     2
     """
     has_restarted = any(
@@ -91,7 +91,7 @@
 
 
 def summarise(counts: Iterable[Counter[Series]]) -> tuple[UsageLine, ...]:
-    """Return lines by group, the organisation that offered most first."""
+    """Return lines sorted by group, then by operations offered."""
     total: Counter[Series] = sum(counts, Counter())
     refused: dict[tuple[str, str], dict[str, int]] = {}
     granted: Counter[tuple[str, str]] = Counter()
