--- a/redwingpost/agent/conduct.py
+++ b/redwingpost/agent/conduct.py
@@ -10,12 +10,12 @@
 from redwingpost.core import GroupView
 from redwingpost.ports import TargetError, TargetLost
 from redwingpost.promotion import (
+    Abort,
     Announce,
     Candidate,
     ClaimAnswer,
     Command,
     Event,
-    GiveUp,
     MemberFailed,
     PromoteAnswer,
     SendClaim,
@@ -66,7 +66,7 @@
 
     async def run(
         self, candidates: tuple[Candidate, ...], term: int
-    ) -> Announce | GiveUp:
+    ) -> Announce | Abort:
         """Run the election to its end."""
         election, commands = start(candidates, term)
         try:
@@ -74,7 +74,7 @@
                 for command in commands:
                     self._carry_out(command)
                 ended = [
-                    c for c in commands if isinstance(c, Announce | GiveUp)
+                    c for c in commands if isinstance(c, Announce | Abort)
                 ]
                 if ended:
                     await self._finish_follows(commands)
--- a/redwingpost/agent/observer.py
+++ b/redwingpost/agent/observer.py
@@ -80,7 +80,7 @@
                 "role": "primary" if sighting.leads else "replica",
                 "ageMs": min(MAX_AGE_MS, to_age_ms(sighting.age_s)),
             }
-            for sighting in report.sightings
+            for sighting in report.observations
         ]
 
     async def announce(self, views: Any, _context: Any, **kwargs: Any) -> None:
--- a/redwingpost/agent/probe.py
+++ b/redwingpost/agent/probe.py
@@ -13,7 +13,7 @@
 )
 from redwingpost.promotion import (
     FRESH_CONNECTION_S,
-    Sighting,
+    MemberObservation,
     SilenceMeter,
     leads,
 )
@@ -56,12 +56,12 @@
         """Return for how long the member has not answered, in seconds."""
         return self._meter.silent_s(self._clock.now())
 
-    def sighting(self) -> Sighting:
+    def sighting(self) -> MemberObservation:
         """Return what there is to tell other observers."""
         status = self.status
         if status is None:
-            return Sighting(self.address.member, self.silent_s())
-        return Sighting(
+            return MemberObservation(self.address.member, self.silent_s())
+        return MemberObservation(
             self.address.member,
             self.silent_s(),
             status.promised_term,
--- a/redwingpost/agent/promoter.py
+++ b/redwingpost/agent/promoter.py
@@ -17,23 +17,23 @@
 from redwingpost.promotion import (
     ISOLATED_S,
     SILENCE_S,
+    Abort,
     Announce,
     Candidate,
-    GiveUp,
+    Diagnosis,
+    MemberObservation,
     ReplicationMeter,
     Report,
-    Sighting,
-    Verdict,
     backoff_s,
+    diagnose_drain,
+    diagnose_leadership,
+    diagnose_primary,
     has_leader,
-    judge_leaving,
-    judge_office,
-    judge_primary,
+    last_log_term,
     leader_of,
     may_propose,
     must_follow,
     next_term,
-    own_term,
 )
 from redwingpost.wire.codec import from_age_ms
 
@@ -53,13 +53,13 @@
 #: Seconds after which a suspicion that nobody renewed is over.
 _SUSPICION_S = 0.6
 
-#: Verdicts that ask for a promotion.
+#: Diagnoses that ask for a promotion.
 _ORDERING = {
-    Verdict.PRIMARY_LOST,
-    Verdict.LEADERLESS,
-    Verdict.STRANDED,
-    Verdict.LEAVING,
-    Verdict.ISOLATED,
+    Diagnosis.PRIMARY_LOST,
+    Diagnosis.LEADERLESS,
+    Diagnosis.STRANDED,
+    Diagnosis.LEAVING,
+    Diagnosis.ISOLATED,
 }
 
 
@@ -156,7 +156,7 @@
         leader = leader_of(statuses)
         if leader is None:
             return
-        term = own_term(leader)
+        term = last_log_term(leader)
         known = self._view(group)
         if known is None or (known.term, bool(known.primary)) < (term, True):
             view = GroupView(group, term, leader.member, leader.history)
@@ -201,7 +201,7 @@
         self, watch: Any, status: MemberStatus, leader: MemberStatus
     ) -> None:
         probe = watch.probes_by_member[status.member]
-        term = own_term(leader)
+        term = last_log_term(leader)
         primary = watch.address(leader.member)
         accepted = await send_follow(probe, term, primary)
         logger.info(
@@ -213,7 +213,7 @@
         )
 
     def _time_leaderless(self, watch: Any, state: _GroupState) -> None:
-        if has_leader(self._own(watch).sightings):
+        if has_leader(self._own(watch).observations):
             state.leaderless_since = None
         elif state.leaderless_since is None:
             state.leaderless_since = self._context.clock.now()
@@ -231,7 +231,7 @@
             status.received
             for status in statuses
             if status.follows == leader.member
-            and status.promised_term == own_term(leader)
+            and status.promised_term == last_log_term(leader)
         )
         whole = len(following) == len(watch.members) - 1
         state.replication.observe(
@@ -254,19 +254,19 @@
             return True
         return self._judge_answering(watch, state) in _ORDERING
 
-    def _judge_answering(self, watch: Any, state: _GroupState) -> Verdict:
+    def _judge_answering(self, watch: Any, state: _GroupState) -> Diagnosis:
         """Judge a group whose primary answers."""
-        sightings = self._own(watch).sightings
+        sightings = self._own(watch).observations
         now = self._context.clock.now()
         since = state.leaderless_since
         leaderless_s = 0.0 if since is None else now - since
-        verdict = judge_office(watch.members, sightings, leaderless_s)
-        if verdict is not Verdict.HEALTHY:
+        verdict = diagnose_leadership(watch.members, sightings, leaderless_s)
+        if verdict is not Diagnosis.HEALTHY:
             return verdict
         if state.replication.stalled_s(now) >= ISOLATED_S:
-            return Verdict.ISOLATED
+            return Diagnosis.ISOLATED
         view = self._view(watch.group)
-        return judge_leaving(
+        return diagnose_drain(
             view.primary, watch.members, watch.leaving, sightings
         )
 
@@ -282,13 +282,13 @@
 
     def _verdict(
         self, watch: Any, state: _GroupState, reports: list[Report]
-    ) -> Verdict:
+    ) -> Diagnosis:
         view = self._view(watch.group)
         data_centres = {vm.data_centre for vm in watch.observers}
-        verdict = judge_primary(
+        verdict = diagnose_primary(
             view.primary, watch.members, reports, len(data_centres)
         )
-        if verdict is Verdict.HEALTHY:
+        if verdict is Diagnosis.HEALTHY:
             return self._judge_answering(watch, state)
         return verdict
 
@@ -308,7 +308,7 @@
         if answer.is_error() or not len(answer.ok.seen):
             return None
         sightings = tuple(
-            Sighting(
+            MemberObservation(
                 seen.member,
                 from_age_ms(seen.silentMs),
                 seen.term,
@@ -324,7 +324,7 @@
         watch: Any,
         state: _GroupState,
         reports: list[Report],
-        verdict: Verdict,
+        verdict: Diagnosis,
     ) -> None:
         now = self._context.clock.now()
         state.suspected_at = now
@@ -337,7 +337,7 @@
     async def promote_now(self, watch: Any) -> None:
         """Conduct one promotion, whoever leads and whose turn it is."""
         state = self._states_by_group.setdefault(watch.group, _GroupState())
-        await self._promote(watch, state, Verdict.LEADERLESS)
+        await self._promote(watch, state, Diagnosis.LEADERLESS)
 
     def _rank(self, watch: Any, reports: list[Report]) -> int:
         """Return this VM's rank among the observers that answer."""
@@ -347,7 +347,7 @@
         return ranked.index(name) if name in ranked else len(ranked)
 
     async def _promote(
-        self, watch: Any, state: _GroupState, verdict: Verdict
+        self, watch: Any, state: _GroupState, verdict: Diagnosis
     ) -> None:
         vm = self._context.settings.vm.name
         self._elections += 1
@@ -369,12 +369,12 @@
             lambda view: self._context.announce([view]),
         )
         leaving = watch.leaving
-        if verdict is Verdict.ISOLATED:
+        if verdict is Diagnosis.ISOLATED:
             # Ahead of the others by what nobody confirmed, it would be
             # chosen again, and nothing would have changed.
             leaving = leaving | {old.primary}
         ended = await conductor.run(self._candidates(watch, leaving), term)
-        if isinstance(ended, GiveUp):
+        if isinstance(ended, Abort):
             self._note_failure(watch.group, state, ended)
             return
         self._note_success(watch.group, state, ended)
@@ -404,7 +404,7 @@
         )
 
     def _note_failure(
-        self, group: str, state: _GroupState, ended: GiveUp
+        self, group: str, state: _GroupState, ended: Abort
     ) -> None:
         self._promotions.labels("gave up").inc()
         pause = backoff_s(state.failures, self._random.random())
@@ -434,7 +434,7 @@
         group: str,
         ended: Announce,
         claimant: str,
-        verdict: Verdict,
+        verdict: Diagnosis,
     ) -> None:
         """Leave a row where the store can be reached; nothing waits."""
         key = f"{group}/{ended.term:012d}"
--- a/redwingpost/promotion/acknowledgement.py
+++ b/redwingpost/promotion/acknowledgement.py
@@ -1,19 +1,20 @@
 """Decide when a committed write may be acknowledged.
 
-A primary that was cut off goes on committing; what it commits is lost
-once another is promoted. A write at (term, index) is acknowledged only
-when enough replicas hold it *and* still had promised that very term: with
-the primary they are a majority, every promotion's claims meet that
-majority, so every later primary's log holds the write.
-
-Load pattern: hundreds of writes a second wait for the same two replicas.
-One round trip per write and replica would double the statements that a
-member answers; here the writes that wait share each round trip, at most
-``OUTSTANDING`` under way per replica. Without that limit a slow replica
-would collect one outstanding wait per write.
-
-The state is held by ``Acknowledgements``; it has no clock and sends
-nothing. The rule itself is ``proves``, which the model checker uses too.
+A primary that is cut off from its replicas continues to commit, and
+those commits are lost once another member is promoted. A write at
+(term, index) is therefore acknowledged only when enough replicas hold it
+*and* their promised term is still that term. Together with the primary
+they are a majority. The claims of every promotion overlap with that
+majority, so the log of every later primary holds the write.
+
+Load pattern: hundreds of writes per second wait for the same two
+replicas. One round trip per write and replica would double the number of
+statements that a member answers. Waiting writes share round trips
+instead, with at most ``MAX_OUTSTANDING_WAITS`` in flight per replica;
+without that limit a slow replica would accumulate one wait per write.
+
+``Acknowledgements`` holds the state; it has no clock and performs no
+I/O. The rule itself is ``proves``, which the model checker uses too.
 """
 
 from collections.abc import Iterable, Sequence
@@ -22,23 +23,25 @@
 
 from redwingpost.core import Position
 
-#: Connections are scarce, and each wait under way holds one. Measured at
-#: eight writers and 1.5 ms one way, a second brought nothing: p50 23.4 ms
-#: with one and 23.1 ms with two, at 0.75 and 1.18 waits a write.
-OUTSTANDING = 1
+#: Each wait in flight occupies a connection, and connections are scarce.
+#: A second wait does not lower latency: with eight writers and 1.5 ms
+#: one way, p50 is 23.4 ms with one and 23.1 ms with two, at 0.75 and 1.18
+#: waits per write.
+MAX_OUTSTANDING_WAITS = 1
 
-#: Past this a write counts as unconfirmed. Longer than a replica's
-#: usual receiving delay by far, shorter than a promotion, so that a
-#: keyed write can still be asked for at the new primary.
-CONFIRM_BOUND_S = 1.0
+#: After this time a write counts as unconfirmed. Much longer than the
+#: usual receive delay of a replica and shorter than a promotion, so that
+#: the new primary can still be asked for the record of a keyed write.
+CONFIRM_TIMEOUT_S = 1.0
 
 
-class PastBound(Enum):
-    """What a request kind wants when no replica confirms in time.
+class UnconfirmedPolicy(Enum):
+    """How to answer a write that no replica confirmed in time.
 
-    ``REFUSE`` answers not-confirmed (the write may be lost by a
-    promotion). ``ACCEPT`` acknowledges on proof that the term was still
-    current, although only the primary holds the write.
+    Configured per request kind. ``REFUSE`` answers not-confirmed, since
+    a promotion may drop the write. ``ACCEPT`` acknowledges if the term
+    is proven to be still current, although only the primary holds the
+    write.
     """
 
     REFUSE = "refuse"
@@ -54,24 +57,25 @@
 
 
 class Decision(Enum):
-    """What becomes of a waiting write."""
+    """How the wait of a write ended."""
 
     ACKNOWLEDGED = "acknowledged"
     REPLACED = "the primary has been replaced"
     NOT_CONFIRMED = "not confirmed in time"
 
 
-class Decided(NamedTuple):
-    """A write that needn't wait any longer."""
+class SettledWrite(NamedTuple):
+    """A write whose wait has ended, with the decision."""
 
     write: int
     decision: Decision
 
 
 class Wait(NamedTuple):
-    """A wait to send: ``REDWING WAIT RECEIVED`` for ``position``.
+    """A ``REDWING WAIT RECEIVED`` for ``position``, to be sent.
 
-    ``number`` comes back with the answer and orders the waits.
+    ``number`` identifies the wait when it is answered; later waits have
+    higher numbers.
     """
 
     replica: str
@@ -80,7 +84,7 @@
 
 
 def replicas_needed(members: int) -> int:
-    """Return how many replicas make a majority with the primary.
+    """Return how many replicas form a majority with the primary.
 
     Examples
     --------
@@ -91,11 +95,12 @@
 
 
 def proves(answer: WaitAnswer, position: Position) -> bool:
-    """Say whether a replica's answer speaks for a write's safety.
+    """Return whether a replica's answer confirms the write at ``position``.
 
-    The replica must hold the position while its promise was still the
-    position's term. A replica that promised more may be counted in a
-    claim already, with a log that ended before this write.
+    The replica must hold the position and its promised term must still
+    be the term of the position. A replica that promised a later term may
+    already have been counted in a claim with a log that ended before
+    this write.
     """
     return (
         answer.promised_term == position.term
@@ -105,22 +110,22 @@
 
 
 def proves_term(answer: WaitAnswer, term: int) -> bool:
-    """Say whether the replica had not yet promised a later term."""
+    """Return whether ``term`` was still the replica's promised term."""
     return answer.promised_term == term
 
 
 class _Waiting(NamedTuple):
     write: int
     position: Position
-    bound_at: float
-    past_bound: PastBound
-    first_wait: int
+    expires_at: float
+    policy: UnconfirmedPolicy
+    first_wait_after_commit: int
     holders: frozenset[str]
-    term_seen: frozenset[str]
+    term_confirmed_by: frozenset[str]
 
 
 class Acknowledgements:
-    """The writes that wait for confirmation from one primary's term.
+    """Writes of one primary's term that wait for confirmation.
 
     Parameters
     ----------
@@ -131,15 +136,16 @@
     needed : int
         How many of them have to confirm; see ``replicas_needed``.
     outstanding : int, optional
-        Waits under way per replica.
+        Maximum number of waits in flight per replica.
     by_term : bool, optional
-        Settle on proof that the term is still current, asked for after
-        the write (or read) was answered, whoever holds its position.
+        Require only proof that the term is still current, from waits
+        that were sent after the write or read was answered; replicas
+        need not hold its position.
 
     Examples
     --------
     >>> acks = Acknowledgements(2, ("b", "c"), 1)
-    >>> acks.add(7, Position(2, 5), bound_at=1.0)
+    >>> acks.add(7, Position(2, 5), expires_at=1.0)
     ()
     >>> wait = acks.next_wait("b")
     >>> answer = WaitAnswer("b", 2, Position(2, 5))
@@ -152,7 +158,7 @@
         term: int,
         replicas: Sequence[str],
         needed: int,
-        outstanding: int = OUTSTANDING,
+        outstanding: int = MAX_OUTSTANDING_WAITS,
         by_term: bool = False,
     ) -> None:
         self.term = term
@@ -162,7 +168,7 @@
         self._replaced = False
         self._next_number = 1
         self._waiting_by_write: dict[int, _Waiting] = {}
-        self._under_way_by_replica: dict[str, dict[int, Position]] = {
+        self._in_flight_by_replica: dict[str, dict[int, Position]] = {
             replica: {} for replica in replicas
         }
 
@@ -173,26 +179,26 @@
         self,
         write: int,
         position: Position,
-        bound_at: float,
-        past_bound: PastBound = PastBound.REFUSE,
-    ) -> tuple[Decided, ...]:
-        """Note a write that the primary committed at ``position``.
+        expires_at: float,
+        policy: UnconfirmedPolicy = UnconfirmedPolicy.REFUSE,
+    ) -> tuple[SettledWrite, ...]:
+        """Add a write that the primary committed at ``position``.
 
         Returns
         -------
-        tuple of Decided
-            At once where no replica is needed or the term is known to
-            be over; else empty.
+        tuple of SettledWrite
+            The write, if no replica is needed or the term is known to
+            have ended; otherwise empty.
         """
         if self._replaced or position.term != self.term:
-            return (Decided(write, Decision.REPLACED),)
+            return (SettledWrite(write, Decision.REPLACED),)
         if not self.needed:
-            return (Decided(write, Decision.ACKNOWLEDGED),)
+            return (SettledWrite(write, Decision.ACKNOWLEDGED),)
         self._waiting_by_write[write] = _Waiting(
             write,
             position,
-            bound_at,
-            past_bound,
+            expires_at,
+            policy,
             self._next_number,
             frozenset(),
             frozenset(),
@@ -202,103 +208,111 @@
     def next_wait(self, replica: str) -> Wait | None:
         """Return the wait to send to ``replica`` now, if any.
 
-        It asks for the highest position that waits, if no wait under
-        way asks for as much already.
+        It covers the highest unconfirmed position, unless waits in
+        flight already cover all of them.
         """
-        under_way = self._under_way_by_replica[replica]
-        if self._replaced or len(under_way) >= self._outstanding:
+        in_flight = self._in_flight_by_replica[replica]
+        if self._replaced or len(in_flight) >= self._outstanding:
             return None
         wanted = [
             waiting
             for waiting in self._waiting_by_write.values()
-            if replica not in self._proven_by(waiting)
+            if replica not in self._confirmed_by(waiting)
         ]
-        if all(self._is_asked(waiting, under_way) for waiting in wanted):
+        if all(self._is_covered(waiting, in_flight) for waiting in wanted):
             return None
         highest = max(waiting.position for waiting in wanted)
         number = self._next_number
         self._next_number += 1
-        under_way[number] = highest
+        in_flight[number] = highest
         return Wait(replica, number, highest)
 
     def failed(self, replica: str, number: int) -> None:
-        """Note that a wait got no answer."""
-        self._under_way_by_replica[replica].pop(number, None)
-
-    def answered(self, number: int, answer: WaitAnswer) -> tuple[Decided, ...]:
-        """Take a replica's answer and return the writes it settles."""
-        self._under_way_by_replica[answer.replica].pop(number, None)
+        """Record that a wait got no answer."""
+        self._in_flight_by_replica[replica].pop(number, None)
+
+    def answered(
+        self, number: int, answer: WaitAnswer
+    ) -> tuple[SettledWrite, ...]:
+        """Process a replica's answer and return the writes it settles."""
+        self._in_flight_by_replica[answer.replica].pop(number, None)
         if answer.promised_term > self.term:
             return self._replace()
         decided = []
         for waiting in list(self._waiting_by_write.values()):
-            waiting = self._credit(waiting, number, answer)
+            waiting = self._record_answer(waiting, number, answer)
             self._waiting_by_write[waiting.write] = waiting
-            if len(self._proven_by(waiting)) >= self.needed:
-                decided.append(Decided(waiting.write, Decision.ACKNOWLEDGED))
+            if len(self._confirmed_by(waiting)) >= self.needed:
+                decided.append(
+                    SettledWrite(waiting.write, Decision.ACKNOWLEDGED)
+                )
         return self._settle(decided)
 
-    def expired(self, now: float) -> tuple[Decided, ...]:
-        """Return the writes whose bound has passed, and drop them."""
+    def expired(self, now: float) -> tuple[SettledWrite, ...]:
+        """Remove and return the writes whose wait has timed out."""
         decided = [
-            Decided(waiting.write, self._past_bound(waiting))
+            SettledWrite(waiting.write, self._expired_decision(waiting))
             for waiting in self._waiting_by_write.values()
-            if now >= waiting.bound_at
+            if now >= waiting.expires_at
         ]
         return self._settle(decided)
 
-    def replaced(self) -> tuple[Decided, ...]:
-        """Note that a later term is known; nothing is acknowledged."""
+    def replaced(self) -> tuple[SettledWrite, ...]:
+        """Settle all writes as replaced: a later term is known."""
         return self._replace()
 
     def forget(self, write: int) -> None:
-        """Drop a write whose caller has gone."""
+        """Remove a write whose caller no longer waits."""
         self._waiting_by_write.pop(write, None)
 
-    def _proven_by(self, waiting: _Waiting) -> frozenset[str]:
-        return waiting.term_seen if self._by_term else waiting.holders
+    def _confirmed_by(self, waiting: _Waiting) -> frozenset[str]:
+        return waiting.term_confirmed_by if self._by_term else waiting.holders
 
-    def _is_asked(
-        self, waiting: _Waiting, under_way: dict[int, Position]
+    def _is_covered(
+        self, waiting: _Waiting, in_flight: dict[int, Position]
     ) -> bool:
-        """Say whether a wait under way will speak for the write."""
+        """Return whether a wait in flight can confirm the write."""
         return any(
             position >= waiting.position
-            and (not self._by_term or number >= waiting.first_wait)
-            for number, position in under_way.items()
+            and (
+                not self._by_term or number >= waiting.first_wait_after_commit
+            )
+            for number, position in in_flight.items()
         )
 
-    def _credit(
+    def _record_answer(
         self, waiting: _Waiting, number: int, answer: WaitAnswer
     ) -> _Waiting:
         if proves(answer, waiting.position):
             holders = waiting.holders | {answer.replica}
             waiting = waiting._replace(holders=holders)
-        # Only a wait sent after the commit tells that the term was still
-        # current after the target answered; an older one may have been
+        # Only a wait sent after the commit proves that the term was still
+        # current after the target answered; an earlier one may have been
         # answered before a claim that preceded the commit.
-        asked_since = number >= waiting.first_wait
-        if asked_since and proves_term(answer, self.term):
-            seen = waiting.term_seen | {answer.replica}
-            waiting = waiting._replace(term_seen=seen)
+        sent_after_commit = number >= waiting.first_wait_after_commit
+        if sent_after_commit and proves_term(answer, self.term):
+            seen = waiting.term_confirmed_by | {answer.replica}
+            waiting = waiting._replace(term_confirmed_by=seen)
         return waiting
 
-    def _past_bound(self, waiting: _Waiting) -> Decision:
-        accepts = waiting.past_bound is PastBound.ACCEPT
-        if accepts and len(waiting.term_seen) >= self.needed:
+    def _expired_decision(self, waiting: _Waiting) -> Decision:
+        accepts = waiting.policy is UnconfirmedPolicy.ACCEPT
+        if accepts and len(waiting.term_confirmed_by) >= self.needed:
             return Decision.ACKNOWLEDGED
         return Decision.NOT_CONFIRMED
 
-    def _replace(self) -> tuple[Decided, ...]:
-        # A member's promise above the term does not undo what enough
-        # replicas have proven before: those writes are settled and gone.
+    def _replace(self) -> tuple[SettledWrite, ...]:
+        # A later promised term does not invalidate earlier confirmations:
+        # the writes that enough replicas confirmed are already removed.
         self._replaced = True
         return self._settle(
-            Decided(write, Decision.REPLACED)
+            SettledWrite(write, Decision.REPLACED)
             for write in list(self._waiting_by_write)
         )
 
-    def _settle(self, decided: Iterable[Decided]) -> tuple[Decided, ...]:
+    def _settle(
+        self, decided: Iterable[SettledWrite]
+    ) -> tuple[SettledWrite, ...]:
         settled = tuple(decided)
         for done in settled:
             self._waiting_by_write.pop(done.write, None)
--- a/redwingpost/promotion/detection.py
+++ b/redwingpost/promotion/detection.py
@@ -1,19 +1,20 @@
 """Decide whether a group has lost its primary.
 
-Load pattern: an overloaded or paused primary, lossy links and cut-off
-observers look, to one observer, just like a dead primary. Ordering a
-promotion on one observer's word would fence a healthy primary whenever
-one VM loses its network, and each needless promotion stalls all writes
-of the group for about a second. So silence counts only when it is longer
-than any pause or retransmission that must be ridden out, and when
-observers in several data centres agree.
-
-Grounds for the figures: a pause of 300 ms plus one probe interval of
-150 ms gives 450 ms of silence at most; one lost segment stalls a TCP
-connection 200 ms, two in a row 600 ms, and an observer opens a second
-connection for its probes after ``FRESH_CONNECTION_S``, so a stall of
-both at most of the observers at once is what 0.7 s leaves. The gap that
-callers see is 0.55 to 0.7 s of silence plus some 0.2 s of promotion.
+Load pattern: to a single observer, a dead primary can't be distinguished
+from an overloaded or paused one, a lossy link or a network partition of
+the observer itself. If one observer could start a promotion, a VM that
+loses its network would fence a healthy primary, and each needless
+promotion stalls all writes of the group for about a second. Silence
+therefore counts only if it is longer than any pause or retransmission
+that must be tolerated, and if observers in several data centres agree.
+
+Choice of the timeouts: a pause of 300 ms plus one probe interval of
+150 ms causes at most 450 ms of silence. One lost segment stalls a TCP
+connection for 200 ms, two in a row for 600 ms. An observer opens a second
+connection for its probes after ``FRESH_CONNECTION_S``, so 0.7 s is only
+exceeded if both connections stall at most of the observers at once.
+Callers see a gap of 0.55 to 0.7 s of silence plus about 0.2 s of
+promotion.
 """
 
 from collections.abc import Iterable, Sequence
@@ -27,45 +28,47 @@
 #: See the module's docstring.
 SILENCE_S = 0.7
 
-#: After that much silence probes also go over a new connection, which
-#: isn't stuck behind an older one's retransmission timer.
+#: After this much silence probes are also sent over a new connection,
+#: which doesn't wait for the retransmission timer of the older one.
 FRESH_CONNECTION_S = 0.3
 
 #: A member that answered within this time counts as reachable.
 REACHABLE_S = 0.45
 
-#: Where a replica still hears the primary the silence may be ours: wait
-#: longer, but not for ever, since callers reach the group as we do.
-VOUCHED_SILENCE_S = 1.5
+#: If a replica still receives from the primary, the fault may be on the
+#: observers' links: wait longer. Not indefinitely, since callers reach the
+#: group over the same links.
+REPLICA_CONTACT_SILENCE_S = 1.5
 
-#: How long a group may answer without any primary in office before the
-#: proposer at work is taken for dead; a promotion takes about 0.2 s.
+#: How long a group may be without an active primary before the current
+#: proposer is considered dead; a promotion takes about 0.2 s.
 LEADERLESS_S = 0.7
 
-#: A member that promised a term which nobody leads takes no more log.
+#: A member that promised a term without a primary receives no more log
+#: entries.
 STRANDED_S = 3.0
 
-#: For how long no replica may have received anything although the primary
-#: holds more. Replicas ask for news many times a second; two seconds of
-#: that leave nothing but a cut between them and the primary.
+#: How long replicas may receive nothing although the primary holds more.
+#: Replicas poll many times a second, so after two seconds only a network
+#: partition between them and the primary explains it.
 ISOLATED_S = 2.0
 
-#: Between one proposer and the next in rank; a claim round with its
-#: grace is done within it.
+#: Delay between proposers of consecutive ranks; a claim round including
+#: its grace period finishes within it.
 STAGGER_S = 0.4
 
-#: Observers in so many data centres have to agree where that many
-#: data centres hold observers.
+#: Observers in at least this many data centres must agree, or in all of
+#: them if fewer have observers.
 DATA_CENTRES = 2
 
 
 class SilenceMeter:
-    """How long a member has been silent, as one observer saw it.
+    """Measures how long a member has not answered one observer.
 
-    A paused observer wakes up to what looks like silence of everybody.
-    ``tick`` is called at every probe; time between two ticks counts up
-    to ``2 * PROBE_INTERVAL_S`` only, so that a pause of the observer
-    adds nothing to the silence of the observed.
+    After a pause of the observer every member seems to have been silent.
+    ``tick`` is called at every probe. The time between two ticks counts
+    only up to ``2 * PROBE_INTERVAL_S``, so that a pause of the observer
+    isn't counted as silence of the member.
 
     Parameters
     ----------
@@ -89,27 +92,27 @@
         self._silent_s = 0.0
 
     def tick(self, now: float) -> None:
-        """Note that the observer is awake and probing."""
+        """Record that the observer is running and probing."""
         self._silent_s = self.silent_s(now)
         self._ticked_at = now
 
     def answered(self, now: float) -> None:
-        """Note an answer of the member."""
+        """Record an answer of the member."""
         self._silent_s = 0.0
         self._ticked_at = now
 
     def silent_s(self, now: float) -> float:
-        """Return the seconds of silence while the observer was awake."""
+        """Return the silence while the observer was running, in seconds."""
         passed = min(now - self._ticked_at, 2 * PROBE_INTERVAL_S)
         return self._silent_s + passed
 
 
-class Sighting(NamedTuple):
-    """What one observer says of one member.
+class MemberObservation(NamedTuple):
+    """State of one member as one observer has it from its probes.
 
-    ``term`` is the promised term, ``leads`` whether the member is a
-    primary in office: its own term is what it has promised. ``age_s``
-    is the replica's proven age, infinite where unknown.
+    ``term`` is the promised term. ``leads`` tells whether the member is
+    an active primary, one whose log ends in its promised term. ``age_s``
+    is the proven age of a replica's data, infinite if unknown.
     """
 
     member: str
@@ -120,15 +123,15 @@
 
 
 class Report(NamedTuple):
-    """One observer's sightings of a group, fresh from that observer."""
+    """One observer's current observations of a group's members."""
 
     observer: str
     data_centre: str
-    sightings: tuple[Sighting, ...]
+    observations: tuple[MemberObservation, ...]
 
 
-class Verdict(Enum):
-    """What the reports add up to."""
+class Diagnosis(Enum):
+    """State of a group that the reports indicate."""
 
     HEALTHY = "healthy"
     PRIMARY_LOST = "primary lost"
@@ -136,167 +139,177 @@
     STRANDED = "a member follows nobody"
     LEAVING = "the primary is to leave"
     ISOLATED = "the primary's replicas receive nothing from it"
-    MEMBERS_AWAY = "no majority of members answers"
+    MAJORITY_UNREACHABLE = "no majority of members answers"
     TOO_FEW_OBSERVERS = "too few observers agree"
 
 
-def _silence(report: Report, member: str) -> float:
-    for sighting in report.sightings:
-        if sighting.member == member:
-            return sighting.silent_s
+def _silence_s(report: Report, member: str) -> float:
+    for observation in report.observations:
+        if observation.member == member:
+            return observation.silent_s
     return float("inf")
 
 
 def _reaches_majority(report: Report, members: Sequence[str]) -> bool:
-    reached = sum(_silence(report, m) < REACHABLE_S for m in members)
+    reached = sum(_silence_s(report, m) < REACHABLE_S for m in members)
     return reached > len(members) // 2
 
 
-def _vouched(report: Report, primary: str) -> bool:
+def _has_replica_contact(report: Report, primary: str) -> bool:
     return any(
-        sighting.member != primary
-        and sighting.silent_s < REACHABLE_S
-        and sighting.age_s < REACHABLE_S
-        for sighting in report.sightings
+        observation.member != primary
+        and observation.silent_s < REACHABLE_S
+        and observation.age_s < REACHABLE_S
+        for observation in report.observations
     )
 
 
 def _agreed(
-    silent: Iterable[Report], heard: Sequence[Report], data_centres: int
+    silent: Iterable[Report], reports: Sequence[Report], data_centres: int
 ) -> bool:
-    voters = list(silent)
-    if 2 * len(voters) <= len(heard):
+    silent_reports = list(silent)
+    if 2 * len(silent_reports) <= len(reports):
         return False
-    voting = {report.data_centre for report in voters}
-    return len(voting) >= min(DATA_CENTRES, data_centres)
+    agreeing_data_centres = {report.data_centre for report in silent_reports}
+    return len(agreeing_data_centres) >= min(DATA_CENTRES, data_centres)
 
 
-def judge_primary(
+def diagnose_primary(
     primary: str,
     members: Sequence[str],
     reports: Sequence[Report],
     data_centres: int,
-) -> Verdict:
-    """Say whether ``primary`` is lost, from the observers that answered.
+) -> Diagnosis:
+    """Decide whether ``primary`` is lost, from the observers' reports.
 
-    The first report is the proposer's own. It has to reach a majority
-    of the members itself, else its claim could only disturb: a claim
-    that a minority accepts leaves these members without a primary.
+    The first report is the proposer's own. The proposer must reach a
+    majority of the members: a claim that only a minority accepts can't
+    succeed and leaves these members without a primary.
 
     Parameters
     ----------
     primary : str
-        Who leads by the view in force.
+        The primary according to the current view.
     members : sequence of str
         All members of the group.
     reports : sequence of Report
-        The proposer's own first, then those that others just gave.
+        The proposer's own first, then those that other observers just
+        sent.
     data_centres : int
-        In how many data centres observers were chosen.
+        Number of data centres in which observers were chosen.
 
     Returns
     -------
-    Verdict
+    Diagnosis
         ``PRIMARY_LOST`` if a majority of the reports, from at least two
         data centres, had no answer for long enough.
 
     Examples
     --------
-    >>> seen = (Sighting("a", 0.9), Sighting("b", 0.1), Sighting("c", 0.1))
+    >>> seen = (
+    ...     MemberObservation("a", 0.9),
+    ...     MemberObservation("b", 0.1),
+    ...     MemberObservation("c", 0.1),
+    ... )
     >>> one = Report("vm-1", "dc-1", seen)
     >>> two = Report("vm-2", "dc-2", seen)
-    >>> judge_primary("a", ("a", "b", "c"), [one, two], 2).name
+    >>> diagnose_primary("a", ("a", "b", "c"), [one, two], 2).name
     'PRIMARY_LOST'
-    >>> judge_primary("a", ("a", "b", "c"), [one], 2).name
+    >>> diagnose_primary("a", ("a", "b", "c"), [one], 2).name
     'TOO_FEW_OBSERVERS'
     """
     own = reports[0]
-    if _silence(own, primary) < SILENCE_S:
-        return Verdict.HEALTHY
+    if _silence_s(own, primary) < SILENCE_S:
+        return Diagnosis.HEALTHY
     if not _reaches_majority(own, members):
-        return Verdict.MEMBERS_AWAY
-    vouched = any(_vouched(report, primary) for report in reports)
-    needed_s = VOUCHED_SILENCE_S if vouched else SILENCE_S
-    silent = [r for r in reports if _silence(r, primary) >= needed_s]
+        return Diagnosis.MAJORITY_UNREACHABLE
+    has_replica_contact = any(
+        _has_replica_contact(report, primary) for report in reports
+    )
+    needed_s = REPLICA_CONTACT_SILENCE_S if has_replica_contact else SILENCE_S
+    silent = [r for r in reports if _silence_s(r, primary) >= needed_s]
     if _agreed(silent, reports, data_centres):
-        return Verdict.PRIMARY_LOST
-    return Verdict.TOO_FEW_OBSERVERS
+        return Diagnosis.PRIMARY_LOST
+    return Diagnosis.TOO_FEW_OBSERVERS
 
 
-def has_leader(sightings: Sequence[Sighting]) -> bool:
-    """Say whether a reachable member leads the highest promised term."""
-    reachable = [s for s in sightings if s.silent_s < REACHABLE_S]
-    highest = max((s.term for s in reachable), default=0)
-    return any(s.leads and s.term == highest for s in reachable)
+def has_leader(observations: Sequence[MemberObservation]) -> bool:
+    """Return whether a reachable member leads the highest promised term."""
+    reachable = [seen for seen in observations if seen.silent_s < REACHABLE_S]
+    highest = max((seen.term for seen in reachable), default=0)
+    return any(seen.leads and seen.term == highest for seen in reachable)
 
 
-def judge_office(
+def diagnose_leadership(
     members: Sequence[str],
-    sightings: Sequence[Sighting],
+    observations: Sequence[MemberObservation],
     leaderless_s: float,
-) -> Verdict:
-    """Say whether a reachable group stands without a primary in office.
+) -> Diagnosis:
+    """Decide whether a reachable group has no active primary.
 
-    A proposer that died after its claim leaves a group whose members
-    all answer but take no writes. A claim that only a replica heard
-    leaves that replica deaf to its primary. Neither is silent.
+    If a proposer dies after its claim, all members answer but none takes
+    writes. If a claim reaches only a replica, that replica no longer
+    accepts log entries from its primary. Neither case shows as silence.
 
     Parameters
     ----------
     members : sequence of str
         All members of the group.
-    sightings : sequence of Sighting
+    observations : sequence of MemberObservation
         The proposer's own.
     leaderless_s : float
         For how long ``has_leader`` has been false.
 
     Returns
     -------
-    Verdict
-        ``LEADERLESS`` where nobody leads any term, ``STRANDED`` where
-        somebody leads but another member promised a higher term.
+    Diagnosis
+        ``LEADERLESS`` if no member leads any term, ``STRANDED`` if a
+        member leads but another one promised a higher term.
     """
-    reachable = [s for s in sightings if s.silent_s < REACHABLE_S]
+    reachable = [seen for seen in observations if seen.silent_s < REACHABLE_S]
     if len(reachable) <= len(members) // 2:
-        return Verdict.MEMBERS_AWAY
-    if has_leader(sightings):
-        return Verdict.HEALTHY
-    if any(sighting.leads for sighting in reachable):
+        return Diagnosis.MAJORITY_UNREACHABLE
+    if has_leader(observations):
+        return Diagnosis.HEALTHY
+    if any(observation.leads for observation in reachable):
         stranded = leaderless_s >= STRANDED_S
-        return Verdict.STRANDED if stranded else Verdict.HEALTHY
+        return Diagnosis.STRANDED if stranded else Diagnosis.HEALTHY
     if leaderless_s >= LEADERLESS_S:
-        return Verdict.LEADERLESS
-    return Verdict.HEALTHY
+        return Diagnosis.LEADERLESS
+    return Diagnosis.HEALTHY
 
 
-def judge_leaving(
+def diagnose_drain(
     primary: str,
     members: Sequence[str],
     leaving: frozenset[str],
-    sightings: Sequence[Sighting],
-) -> Verdict:
-    """Say whether an operator's drain asks for another primary.
+    observations: Sequence[MemberObservation],
+) -> Diagnosis:
+    """Decide whether an operator's drain requires another primary.
 
-    Only while every member answers: a hand-over that is planned may
-    wait, and one among two members leaves the group without a spare.
+    ``LEAVING`` only while every member answers: a planned promotion can
+    wait, and with a member unreachable it would leave the group without
+    a spare.
     """
     if primary not in leaving:
-        return Verdict.HEALTHY
+        return Diagnosis.HEALTHY
     staying = [member for member in members if member not in leaving]
     if len(staying) <= len(members) // 2:
-        return Verdict.HEALTHY
-    reached = {s.member for s in sightings if s.silent_s < REACHABLE_S}
+        return Diagnosis.HEALTHY
+    reached = {
+        seen.member for seen in observations if seen.silent_s < REACHABLE_S
+    }
     if reached.issuperset(members):
-        return Verdict.LEAVING
-    return Verdict.MEMBERS_AWAY
+        return Diagnosis.LEAVING
+    return Diagnosis.MAJORITY_UNREACHABLE
 
 
 class ReplicationMeter:
-    """For how long replication of one primary has stood still.
+    """Measures how long replication of one primary has been stalled.
 
-    A primary that observers reach, but its replicas don't, answers every
-    probe. Its writes are committed and never confirmed, so that callers
-    get "not confirmed" for as long as the cut lasts.
+    A primary that observers reach but its replicas don't answers every
+    probe. Its writes are committed but never confirmed, so callers get
+    not-confirmed as long as the partition lasts.
 
     Examples
     --------
@@ -317,10 +330,10 @@
     def observe(
         self, primary: Position, replicas: tuple[Position, ...], now: float
     ) -> None:
-        """Note what the primary and its followers hold.
+        """Record the positions of the primary and of its replicas.
 
-        ``replicas`` is empty where not all the others answer and follow;
-        then nothing can be said.
+        ``replicas`` is empty unless all the others answer and follow the
+        primary; then no stall is reported.
         """
         behind = bool(replicas) and max(replicas) < primary
         moved = replicas != self._received or self._stalled_since is None
@@ -331,14 +344,14 @@
         self._received = replicas
 
     def stalled_s(self, now: float) -> float:
-        """Return the seconds since a replica received anything."""
+        """Return the time since a replica received anything, in seconds."""
         if self._stalled_since is None:
             return 0.0
         return now - self._stalled_since
 
 
 def may_propose(rank: int, suspected_for_s: float) -> bool:
-    """Say whether the turn of the proposer of ``rank`` has come.
+    """Return whether the proposer of ``rank`` may start a promotion.
 
     Examples
     --------
--- a/redwingpost/promotion/lost_tails.py
+++ b/redwingpost/promotion/dropped_positions.py
@@ -1,12 +1,13 @@
 """Sessions whose position a promotion dropped.
 
 Replication is asynchronous, so a promotion can drop transactions at the
-end of the old primary's log. A session may hold such a position: it read
-it from the old primary, or its write went unconfirmed. Served silently,
-its next read would miss what it had seen; refused for ever, the session
-would be of no more use. The session is told once, by code 20309, and
-then goes on from the start of the term that dropped the position: from
-there on everything it reads is in the log in force.
+end of the old primary's log. A session may hold the position of such a
+transaction: it read it from the old primary, or its write wasn't
+confirmed. Without an error its next read would miss what it had seen;
+with an error on every read the session would be unusable. The caller
+gets code 20309 once, and the session continues from the start of the
+term that dropped the position: everything it reads from there on is in
+the current log.
 """
 
 from typing import NamedTuple
@@ -15,10 +16,10 @@
 
 
 class Continuation(NamedTuple):
-    """What a session's position is worth under the log in force.
+    """Position from which a session continues under the current log.
 
-    ``position`` is what the session holds from now on; ``lost`` says
-    that the caller has to be told.
+    ``lost`` is set if its former position was dropped, which has to be
+    reported to the caller.
     """
 
     position: Position
@@ -26,15 +27,15 @@
 
 
 def continue_from(position: Position, history: History) -> Continuation:
-    """Judge a session's position by the history of the log in force.
+    """Check a session's position against the history of the current log.
 
     Parameters
     ----------
     position : Position
-        The highest that the session has seen of this group.
+        The highest position of this group that the session has seen.
     history : tuple of Position
-        First position of each term, oldest first. May be older than the
-        position's term; then nothing is known against the position.
+        First position of each term, oldest first. If it ends before the
+        position's term, the position counts as not lost.
 
     Examples
     --------
--- a/redwingpost/promotion/election.py
+++ b/redwingpost/promotion/election.py
@@ -1,15 +1,15 @@
-"""Conduct one promotion: claims, choice, promotion, announcement.
+"""State machine of one promotion: claims, choice, promotion, announcement.
 
 A pure state machine: ``step`` takes a state and an event and returns the
 next state with the commands to carry out. The same code runs in the
 agent and in the model checker.
 
 Load pattern: a lost primary, with several proposers, lost messages and
-members that come and go meanwhile. Without a claim by a majority two
-proposers would make two primaries of one term; without choosing the most
-advanced of the majority an acknowledged write would vanish. The choice
-of the log with the highest (term, index) of a majority is Raft's (Ongaro
-and Ousterhout, 2014, section 5.4.1).
+members that fail and return meanwhile. If a claim didn't need a
+majority, two proposers could promote two primaries in one term. If the
+chosen member weren't the most advanced of that majority, an acknowledged
+write could be lost. Raft's election rule ensures the same by the highest
+(term, index) of a majority (Ongaro and Ousterhout, 2014, section 5.4.1).
 """
 
 from enum import Enum
@@ -17,36 +17,38 @@
 
 from redwingpost.core import ZERO_POSITION, Position
 
-#: The slowest member's answer still counts within this time: a more
-#: advanced third member saves transactions that nobody acknowledged.
-#: Several round trips between the data centres of today (1 to 3 ms).
+#: How long to wait for the remaining claims after a majority accepted: a
+#: more advanced third member keeps transactions that weren't acknowledged.
+#: Several round trips between data centres, of 1 to 3 ms each.
 GRACE_S = 0.1
 
-#: No majority within it: give up, try again with a higher term. Three
-#: retransmission timeouts of 200 ms.
+#: Without a majority within this time the promotion is aborted and tried
+#: again with a higher term. Three retransmission timeouts of 200 ms.
 CLAIM_TIMEOUT_S = 0.6
 
-#: The candidate applies its relay log first; minutes of lag take long.
+#: The candidate applies its relay log first, which takes long if it lags
+#: by minutes.
 PROMOTE_TIMEOUT_S = 10.0
 
-#: A second try follows soon (the loser of a race sees the winner's term
-#: within a probe interval), later ones leave the members in peace.
+#: The second attempt follows soon, since the loser of a race sees the
+#: winner's term within a probe interval. Later ones back off to limit the
+#: load on the members.
 BACKOFF_BASE_S = 0.25
 BACKOFF_MAX_S = 2.0
 
 
 class Phase(Enum):
-    """How far the promotion is."""
+    """Phase of a promotion."""
 
     CLAIMING = "claiming"
     GRACE = "grace"
     PROMOTING = "promoting"
     DONE = "done"
-    GAVE_UP = "gave up"
+    ABORTED = "aborted"
 
 
 class Timer(Enum):
-    """What a timer was started for."""
+    """Purpose of a timer."""
 
     CLAIM = "claim"
     GRACE = "grace"
@@ -64,7 +66,10 @@
 
 
 class PromoteAnswer(NamedTuple):
-    """A member's answer to ``REDWING PROMOTE``; ``start`` if ok."""
+    """A member's answer to ``REDWING PROMOTE``.
+
+    ``start`` is the first position of the new term, set if ``ok``.
+    """
 
     member: str
     ok: bool
@@ -72,13 +77,16 @@
 
 
 class MemberFailed(NamedTuple):
-    """A member can't be reached; the event is optional."""
+    """A member can't be reached.
+
+    Optional: without this event the timers end the wait for the member.
+    """
 
     member: str
 
 
 class TimerFired(NamedTuple):
-    """A timer that a command started has run out."""
+    """A timer that a ``StartTimer`` command started has expired."""
 
     timer: Timer
 
@@ -116,25 +124,31 @@
 
 
 class Announce(NamedTuple):
-    """Tell agents and proxies who leads."""
+    """Announce the new primary to agents and proxies."""
 
     term: int
     primary: str
     start: Position
 
 
-class GiveUp(NamedTuple):
-    """The promotion failed; ``highest_term`` is what members promised."""
+class Abort(NamedTuple):
+    """End the promotion without a new primary.
+
+    ``highest_term`` is the highest term that is known to be promised.
+    """
 
     reason: str
     highest_term: int
 
 
-Command = SendClaim | SendPromote | SendFollow | StartTimer | Announce | GiveUp
+Command = SendClaim | SendPromote | SendFollow | StartTimer | Announce | Abort
 
 
 class Candidate(NamedTuple):
-    """What speaks for a member besides its log."""
+    """A member that may be promoted, with the criteria besides its log.
+
+    ``distance`` is 0 in the proposer's data centre and higher elsewhere.
+    """
 
     member: str
     distance: int = 0
@@ -142,7 +156,7 @@
 
 
 class Election(NamedTuple):
-    """State of one promotion; a value, so that states can be compared.
+    """Immutable state of one promotion, so that states can be compared.
 
     ``claims`` holds the accepting answers in order of arrival.
     """
@@ -157,7 +171,7 @@
 
     @property
     def majority(self) -> int:
-        """Return how many members have to accept the claim."""
+        """Return the number of members that must accept the claim."""
         return len(self.candidates) // 2 + 1
 
 
@@ -165,7 +179,7 @@
 
 
 def next_term(known_terms: tuple[int, ...]) -> int:
-    """Return the term to claim: above every term heard of.
+    """Return the term to claim, above every known term.
 
     Examples
     --------
@@ -176,15 +190,15 @@
 
 
 def backoff_s(attempt: int, jitter: float) -> float:
-    """Return the pause before the next promotion, in seconds.
+    """Return the delay before the next attempt, in seconds.
 
-    Two proposers that keep claiming in step would refuse each other for
-    ever; the jitter parts them.
+    Two proposers that claim at the same times would block each other
+    indefinitely; jitter prevents this.
 
     Parameters
     ----------
     attempt : int
-        Failed promotions so far, less one.
+        Number of failed promotions so far, minus one.
     jitter : float
         Random, between 0 and 1.
 
@@ -193,12 +207,12 @@
     >>> backoff_s(0, 0.5), backoff_s(9, 0.5)
     (0.25, 2.0)
     """
-    pause = min(BACKOFF_BASE_S * 2**attempt, BACKOFF_MAX_S)
-    return pause * (0.5 + jitter)
+    delay_s = min(BACKOFF_BASE_S * 2**attempt, BACKOFF_MAX_S)
+    return delay_s * (0.5 + jitter)
 
 
 def start(candidates: tuple[Candidate, ...], term: int) -> Step:
-    """Begin a promotion: claim ``term`` at every member."""
+    """Start a promotion by claiming ``term`` at every member."""
     election = Election(candidates, term, highest_term=term)
     claims = tuple(SendClaim(c.member, term) for c in candidates)
     timer = StartTimer(Timer.CLAIM, CLAIM_TIMEOUT_S)
@@ -206,23 +220,23 @@
 
 
 def choose_primary(election: Election) -> str:
-    """Return the most advanced claimed member.
+    """Return the most advanced member among those that accepted the claim.
 
-    Members that are leaving count only where the others are too few to
-    be a majority: any majority's most advanced log holds every
-    acknowledged write. Ties go to the least left to apply (callers wait
-    for that), then to the nearest.
+    Members that are leaving are considered only if the others are no
+    majority: the most advanced log of any majority holds every
+    acknowledged write. Ties go to the member with the fewest entries left
+    to apply, since callers wait for that, then to the nearest one.
     """
     candidates_by_member = {c.member: c for c in election.candidates}
-    staying = [
+    eligible = [
         claim
         for claim in election.claims
         if not candidates_by_member[claim.member].leaving
     ]
-    if len(staying) < election.majority:
-        staying = list(election.claims)
+    if len(eligible) < election.majority:
+        eligible = list(election.claims)
 
-    def merit(claim: ClaimAnswer) -> tuple:
+    def preference(claim: ClaimAnswer) -> tuple:
         candidate = candidates_by_member[claim.member]
         return (
             claim.received,
@@ -231,7 +245,7 @@
             claim.member,
         )
 
-    return max(staying, key=merit).member
+    return max(eligible, key=preference).member
 
 
 def _promote(election: Election) -> Step:
@@ -243,24 +257,24 @@
     )
 
 
-def _give_up(election: Election, reason: str) -> Step:
-    state = election._replace(phase=Phase.GAVE_UP)
-    return state, (GiveUp(reason, election.highest_term),)
+def _abort(election: Election, reason: str) -> Step:
+    state = election._replace(phase=Phase.ABORTED)
+    return state, (Abort(reason, election.highest_term),)
 
 
 def _after_claim(election: Election) -> Step:
-    """Go on once an answer came or a member failed."""
-    heard = len(election.claims) + len(election.failed)
+    """Return the next step after a claim was answered or a member failed."""
+    answered_or_failed = len(election.claims) + len(election.failed)
     if len(election.claims) >= election.majority:
-        if heard >= len(election.candidates):
+        if answered_or_failed >= len(election.candidates):
             return _promote(election)
         if election.phase is Phase.GRACE:
             return election, ()
         state = election._replace(phase=Phase.GRACE)
         return state, (StartTimer(Timer.GRACE, GRACE_S),)
-    possible = len(election.candidates) - len(election.failed)
-    if possible < election.majority:
-        return _give_up(election, "no majority accepts the claim")
+    possible_claims = len(election.candidates) - len(election.failed)
+    if possible_claims < election.majority:
+        return _abort(election, "no majority accepts the claim")
     return election, ()
 
 
@@ -289,7 +303,7 @@
     if answer.member != election.chosen:
         return election, ()
     if not answer.ok:
-        return _give_up(election, "the chosen member refused")
+        return _abort(election, "the chosen member refused")
     state = election._replace(phase=Phase.DONE)
     follows = tuple(
         SendFollow(c.member, election.term, election.chosen)
@@ -305,16 +319,16 @@
     if timer is Timer.GRACE and election.phase is Phase.GRACE:
         return _promote(election)
     if timer is Timer.CLAIM and claiming:
-        return _give_up(election, "no majority answered in time")
+        return _abort(election, "no majority answered in time")
     if timer is Timer.PROMOTE and election.phase is Phase.PROMOTING:
-        return _give_up(election, "the chosen member did not answer")
+        return _abort(election, "the chosen member did not answer")
     return election, ()
 
 
 def step(election: Election, event: Event) -> Step:
-    """Return the state after ``event`` and what to do now.
+    """Return the state after ``event`` and the commands to carry out.
 
-    Events that come late, twice or out of order change nothing.
+    Late, duplicate and out-of-order events are ignored.
 
     Examples
     --------
@@ -326,7 +340,7 @@
     >>> commands[0]
     SendPromote(member='c', term=2)
     """
-    if election.phase in (Phase.DONE, Phase.GAVE_UP):
+    if election.phase in (Phase.DONE, Phase.ABORTED):
         return election, ()
     if isinstance(event, TimerFired):
         return _on_timer(election, event.timer)
--- a/redwingpost/promotion/observers.py
+++ b/redwingpost/promotion/observers.py
@@ -1,13 +1,14 @@
-"""Choose which VMs watch a group, and who of them proposes first.
+"""Choose which VMs observe a group, and in which order they propose.
 
 Load pattern: at 1,000 VMs and 1,300 groups, probes from every VM to
 every member would be 3.9 million probes per round, and each target would
-hold 1,000 control connections of its 32. Here at most ``OBSERVERS`` VMs
-watch a group, and rendezvous hashing (Thaler and Ravishankar, "Using
-Name-Based Mappings to Increase Hit Rates", 1998) spreads the groups
-evenly over the VMs without any message: everyone computes the same
-choice from the same list of VMs. Lists that differ for some seconds cost
-a few more observers, never safety: the term claim decides.
+need 1,000 control connections where it has 32. Therefore at most
+``OBSERVERS`` VMs observe a group, chosen by rendezvous hashing (Thaler
+and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates",
+1998). It spreads the groups evenly over the VMs without messages: every
+VM computes the same choice from the same list of VMs. While the lists
+differ, for some seconds, there are a few more observers; safety doesn't
+depend on the choice, since a promotion needs a term claim.
 """
 
 from collections.abc import Iterable, Sequence
@@ -16,8 +17,8 @@
 
 from redwingpost.core import VmAddress
 
-#: Six see a majority of four through the loss of one data centre with
-#: two observers; more would only cost probes.
+#: Of six observers a majority of four remains if a data centre with two
+#: of them is lost; more observers would only add probes.
 OBSERVERS = 6
 
 
@@ -32,26 +33,26 @@
 def choose_observers(
     group: str, vms: Sequence[VmAddress], limit: int = OBSERVERS
 ) -> tuple[VmAddress, ...]:
-    """Return the VMs that watch ``group``, first proposer first.
+    """Return the VMs that observe ``group``, in order of proposing.
 
-    The best of each data centre come first, then the second best of
-    each, so that the first few lie in different data centres and the
-    loss of one of these doesn't take the next proposers with it.
+    The highest score of each data centre comes first, then the second
+    highest of each. The first few are thus in different data centres, so
+    that the loss of one data centre doesn't remove the next proposers.
 
     Parameters
     ----------
     group : str
         Name of the database group.
     vms : sequence of VmAddress
-        The VMs believed alive.
+        The VMs that are considered alive.
     limit : int, optional
-        How many to choose at most.
+        Maximum number of observers.
 
     Returns
     -------
     tuple of VmAddress
-        In order of rank: the first proposes at once, later ones after
-        a stagger.
+        In order of rank: the first proposes at once, each later one
+        ``STAGGER_S`` after the one before it.
 
     Examples
     --------
@@ -66,9 +67,9 @@
     rounds_by_data_centre: dict[str, int] = {}
     placed: list[tuple[int, int, VmAddress]] = []
     for rank, vm in enumerate(_ranked(group, vms)):
-        turn = rounds_by_data_centre.get(vm.data_centre, 0)
-        rounds_by_data_centre[vm.data_centre] = turn + 1
-        placed.append((turn, rank, vm))
+        round_number = rounds_by_data_centre.get(vm.data_centre, 0)
+        rounds_by_data_centre[vm.data_centre] = round_number + 1
+        placed.append((round_number, rank, vm))
     placed.sort(key=lambda entry: entry[:2])
     return tuple(vm for _, _, vm in placed[:limit])
 
@@ -76,7 +77,7 @@
 def rank_of(
     vm: str, group: str, vms: Sequence[VmAddress], limit: int = OBSERVERS
 ) -> int | None:
-    """Return the proposer's rank of ``vm``, or None for no observer.
+    """Return the rank of ``vm`` as a proposer, None if it's no observer.
 
     Examples
     --------
--- a/redwingpost/promotion/rejoin.py
+++ b/redwingpost/promotion/rejoin.py
@@ -1,10 +1,11 @@
-"""Bring members back in line after a promotion.
-
-An old primary that was cut off still believes that it leads; a replica
-that missed the promotion follows a dead primary. Unless somebody tells
-them, the group runs on two members, then on one. The observer of the
-lowest rank repeats ``FOLLOW`` until each member follows the leader, so
-that a proposer's death after its promotion changes nothing.
+"""Make the other members follow the new primary after a promotion.
+
+An old primary that was partitioned still acts as primary, and a replica
+that missed the promotion follows a dead primary. Unless they are
+redirected, each promotion leaves the group with one member less. The
+observer of the lowest rank repeats ``FOLLOW`` until each member follows
+the leader, so that it also happens if the proposer dies right after the
+promotion.
 """
 
 from collections.abc import Sequence
@@ -14,13 +15,13 @@
 from redwingpost.ports import MemberStatus
 
 
-def own_term(status: MemberStatus) -> int:
-    """Return the term that the member's log ends in, by its history."""
+def last_log_term(status: MemberStatus) -> int:
+    """Return the term in which the member's log ends, 0 if it's empty."""
     return status.history[-1].term if status.history else 0
 
 
 def leads(status: MemberStatus) -> bool:
-    """Say whether a member is a primary in office.
+    """Return whether a member is an active primary.
 
     A primary that has promised a later term takes no more writes.
 
@@ -32,27 +33,28 @@
     (False, True)
     """
     primary = status.role == "primary"
-    return primary and own_term(status) == status.promised_term
+    return primary and last_log_term(status) == status.promised_term
 
 
 def leader_of(statuses: Sequence[MemberStatus]) -> MemberStatus | None:
     """Return the primary of the highest term among the statuses."""
-    leading = [status for status in statuses if leads(status)]
-    return max(leading, key=own_term, default=None)
+    leaders = [status for status in statuses if leads(status)]
+    return max(leaders, key=last_log_term, default=None)
 
 
 def must_follow(
     statuses: Sequence[MemberStatus],
 ) -> tuple[MemberStatus, ...]:
-    """Return the members that should be told to follow the leader.
+    """Return the members that have to be sent ``FOLLOW``.
 
-    A member that promised a later term than the leader's is left
-    alone: a claim is under way, or it is stranded and needs a new term.
+    Members that promised a later term than the leader's are left out:
+    either a claim is in progress, or they need a promotion with a new
+    term.
     """
     leader = leader_of(statuses)
     if leader is None:
         return ()
-    term = own_term(leader)
+    term = last_log_term(leader)
     return tuple(
         status
         for status in statuses
@@ -62,8 +64,8 @@
     )
 
 
-class SetAside(NamedTuple):
-    """A transaction that only a replaced primary held."""
+class DivergedTransaction(NamedTuple):
+    """A transaction that only a replaced primary holds."""
 
     member: str
     position: Position
--- a/redwingpost/promotion/resolution.py
+++ b/redwingpost/promotion/resolution.py
@@ -1,17 +1,18 @@
-"""What became of a write whose primary was replaced before it was safe.
+"""Outcome of a write whose primary was replaced before it was confirmed.
 
 The write committed at a known position and no replica confirmed it in
-time. Answering "unknown" would be true, but the next term's history
-knows better: either the log in force holds the position, and then the
-write is as safe as that log, or the promotion dropped it for good.
-
-Both hold only once the new term's own first entry is held by a majority:
-before that, a second promotion may still fall back on the old primary's
-log and bring the tail back. And a dropped write is sent again only to
-the primary of that term or a later one: the replaced one still holds it.
-
-Load pattern: every lost primary leaves some
-dozens of writes in this state; each "unknown" is a call to the operators.
+time. Its outcome can be resolved from the history of the next term:
+either the current log holds the position, and the write is as safe as
+that log, or the promotion has dropped it permanently.
+
+Both hold only once a majority holds the first entry of the new term.
+Before that, a second promotion may still choose the old primary's log
+and restore the write. A dropped write is sent again only to the primary
+of that term or a later one, since the replaced primary still holds it.
+
+Load pattern: each loss of a primary leaves some dozens of writes in this
+state, and each one that is answered "unknown" costs a call to the
+operators.
 """
 
 from enum import Enum
@@ -19,43 +20,43 @@
 from redwingpost.core import History, Position, lost_by
 
 
-class Fate(Enum):
-    """What is proven of a write after its primary was replaced."""
+class WriteOutcome(Enum):
+    """Proven outcome of a write after its primary was replaced."""
 
-    SURVIVED = "the log in force holds it"
-    DROPPED = "a promotion dropped it for good"
-    OPEN = "not proven yet"
+    SURVIVED = "the current log holds it"
+    DROPPED = "a promotion dropped it permanently"
+    UNDECIDED = "not proven yet"
 
 
-def judge_fate(
+def resolve_write(
     position: Position, history: History, confirmed: Position
-) -> Fate:
-    """Judge a write by the history of the term in force.
+) -> WriteOutcome:
+    """Resolve the outcome of a write from the current term's history.
 
     Parameters
     ----------
     position : Position
         Where the write committed.
     history : tuple of Position
-        Of the primary in office.
+        History of the current primary.
     confirmed : Position
-        A position of that primary's term that is proven to be held by
-        a majority; of a lower term where nothing is proven.
+        A position of that primary's term that a majority is proven to
+        hold; a position of a lower term if nothing is proven.
 
     Examples
     --------
     >>> history = (Position(1, 1), Position(2, 8))
-    >>> judge_fate(Position(1, 7), history, Position(2, 8)).name
+    >>> resolve_write(Position(1, 7), history, Position(2, 8)).name
     'SURVIVED'
-    >>> judge_fate(Position(1, 8), history, Position(2, 8)).name
+    >>> resolve_write(Position(1, 8), history, Position(2, 8)).name
     'DROPPED'
-    >>> judge_fate(Position(1, 8), history, Position(1, 8)).name
-    'OPEN'
+    >>> resolve_write(Position(1, 8), history, Position(1, 8)).name
+    'UNDECIDED'
     """
     if not history or history[-1].term <= position.term:
-        return Fate.OPEN
+        return WriteOutcome.UNDECIDED
     if confirmed < history[-1]:
-        return Fate.OPEN
+        return WriteOutcome.UNDECIDED
     if lost_by(position, history):
-        return Fate.DROPPED
-    return Fate.SURVIVED
+        return WriteOutcome.DROPPED
+    return WriteOutcome.SURVIVED
--- a/redwingpost/promotion/tests/test_acknowledgement.py
+++ b/redwingpost/promotion/tests/test_acknowledgement.py
@@ -6,7 +6,7 @@
 from redwingpost.promotion import (
     Acknowledgements,
     Decision,
-    PastBound,
+    UnconfirmedPolicy,
     WaitAnswer,
     proves,
 )
@@ -36,9 +36,11 @@
     def setUp(self):
         self.acks = Acknowledgements(2, ("b", "c"), 1, outstanding=2)
 
-    def add(self, write, index, bound_at=1.0, past_bound=PastBound.REFUSE):
+    def add(
+        self, write, index, expires_at=1.0, policy=UnconfirmedPolicy.REFUSE
+    ):
         position = Position(2, index)
-        return self.acks.add(write, position, bound_at, past_bound)
+        return self.acks.add(write, position, expires_at, policy)
 
     def settle(self, *decided):
         return {
@@ -46,10 +48,10 @@
         }
 
     def test_waits_are_shared(self):
-        """Hundreds of writes a second wait for the same replicas.
+        """Hundreds of writes per second wait for the same replicas.
 
-        One statement per write and replica would double what members
-        have to answer, and callers would queue behind it.
+        One statement per write and replica would double the statements
+        that members answer, and callers' statements would queue.
         """
         for write in range(50):
             self.add(write, 10 + write)
@@ -66,10 +68,10 @@
         self.assertEqual(self.acks.next_wait("b").position, Position(2, 61))
 
     def test_replaced_primary_acknowledges_nothing(self):
-        """The primary was cut off and another promoted; it still commits.
+        """A partitioned primary commits after another was promoted.
 
-        Its caller would be told "stored", and the write would be gone
-        with the old primary's tail.
+        The write would be acknowledged to its caller although the
+        promotion drops it with the end of the old primary's log.
         """
         self.add(1, 5)
         wait = self.acks.next_wait("b")
@@ -78,24 +80,24 @@
         self.assertEqual(self.settle(self.add(2, 6)), {2: Decision.REPLACED})
 
     def test_past_the_bound(self):
-        """Both replicas have stopped receiving; the write stands on one.
+        """Both replicas have stopped receiving; only the primary has it.
 
-        What a caller is told depends on the kind: an order is better
-        called unconfirmed, a bookmark better accepted.
+        The answer depends on the request kind: an order should be
+        refused as not confirmed, a bookmark should be accepted.
         """
-        accept, refuse = PastBound.ACCEPT, PastBound.REFUSE
+        accept, refuse = UnconfirmedPolicy.ACCEPT, UnconfirmedPolicy.REFUSE
         behind = answer("b", 1)
         table = [
             ("refuse", refuse, True, Decision.NOT_CONFIRMED),
             ("accept, term proven", accept, True, Decision.ACKNOWLEDGED),
             ("accept, nothing proven", accept, False, Decision.NOT_CONFIRMED),
         ]
-        for name, past_bound, hears, expected in table:
+        for name, policy, has_answer, expected in table:
             with self.subTest(name):
                 self.setUp()
-                self.add(1, 5, 1.0, past_bound)
+                self.add(1, 5, 1.0, policy)
                 wait = self.acks.next_wait("b")
-                if hears:
+                if has_answer:
                     self.assertEqual(
                         self.acks.answered(wait.number, behind), ()
                     )
@@ -104,14 +106,14 @@
                 self.assertEqual(decided, {1: expected})
 
     def test_older_wait_proves_no_term_for_a_younger_write(self):
-        """A wait was answered before a claim, the write came after it.
+        """A wait is answered, then a claim, then the write is committed.
 
-        The answer arrives late. Taken as proof of the term, it would
+        The answer arrives late. As a proof of the term it would
         acknowledge a write of a primary that is already replaced.
         """
         self.add(1, 5)
         old = self.acks.next_wait("b")
-        self.add(2, 6, 1.0, PastBound.ACCEPT)
+        self.add(2, 6, 1.0, UnconfirmedPolicy.ACCEPT)
         self.acks.answered(old.number, answer("b", 5))
         decided = self.settle(self.acks.expired(1.0))
         self.assertEqual(decided, {2: Decision.NOT_CONFIRMED})
--- a/redwingpost/promotion/tests/test_detection.py
+++ b/redwingpost/promotion/tests/test_detection.py
@@ -6,15 +6,15 @@
 from redwingpost.core import Position, VmAddress
 from redwingpost.promotion import (
     PROBE_INTERVAL_S,
+    Diagnosis,
+    MemberObservation,
     ReplicationMeter,
     Report,
-    Sighting,
     SilenceMeter,
-    Verdict,
     choose_observers,
-    judge_leaving,
-    judge_office,
-    judge_primary,
+    diagnose_drain,
+    diagnose_leadership,
+    diagnose_primary,
     may_propose,
     rank_of,
 )
@@ -28,21 +28,21 @@
         f"vm-{number}",
         f"dc-{number // 2}",
         (
-            Sighting("a", primary_silent_s, 1, True),
-            Sighting("b", others_silent_s, 1, False, age_s),
-            Sighting("c", others_silent_s, 1, False, age_s),
+            MemberObservation("a", primary_silent_s, 1, True),
+            MemberObservation("b", others_silent_s, 1, False, age_s),
+            MemberObservation("c", others_silent_s, 1, False, age_s),
         ),
     )
 
 
-class JudgePrimaryTest(TestCase):
-    def judge(self, *reports):
-        return judge_primary("a", MEMBERS, reports, 3)
+class DiagnosePrimaryTest(TestCase):
+    def diagnose(self, *reports):
+        return diagnose_primary("a", MEMBERS, reports, 3)
 
     def test_member_that_no_observer_knows_is_silent(self):
         reports = [Report(f"vm-{n}", f"dc-{n}", ()) for n in range(4)]
-        verdict = judge_primary("a", MEMBERS, reports, 3)
-        self.assertIs(verdict, Verdict.MEMBERS_AWAY)
+        diagnosis = diagnose_primary("a", MEMBERS, reports, 3)
+        self.assertIs(diagnosis, Diagnosis.MAJORITY_UNREACHABLE)
 
     def test_table(self):
         silent, heard = 0.8, 0.1
@@ -53,50 +53,50 @@
         half += [report(n, heard) for n in range(3, 6)]
         paused = [report(n, 0.3 + PROBE_INTERVAL_S) for n in range(6)]
         table = [
-            ("all", everyone, Verdict.PRIMARY_LOST),
-            ("most, from two data centres", majority, Verdict.PRIMARY_LOST),
-            ("only half", half, Verdict.TOO_FEW_OBSERVERS),
-            ("a pause of 300 ms", paused, Verdict.HEALTHY),
-            ("one alone", everyone[:1], Verdict.TOO_FEW_OBSERVERS),
-            ("one data centre", everyone[:2], Verdict.TOO_FEW_OBSERVERS),
+            ("all", everyone, Diagnosis.PRIMARY_LOST),
+            ("most, from two data centres", majority, Diagnosis.PRIMARY_LOST),
+            ("only half", half, Diagnosis.TOO_FEW_OBSERVERS),
+            ("a pause of 300 ms", paused, Diagnosis.HEALTHY),
+            ("one alone", everyone[:1], Diagnosis.TOO_FEW_OBSERVERS),
+            ("one data centre", everyone[:2], Diagnosis.TOO_FEW_OBSERVERS),
         ]
-        for name, reports, verdict in table:
+        for name, reports, diagnosis in table:
             with self.subTest(name):
-                self.assertIs(self.judge(*reports), verdict)
+                self.assertIs(self.diagnose(*reports), diagnosis)
 
     def test_cut_off_vm_orders_nothing(self):
-        """One VM loses its network and hears no member at all.
+        """One VM loses its network and reaches no member.
 
-        If its word counted, a healthy primary would be fenced and every
-        write of the group would stall for a second.
+        If it could start a promotion, a healthy primary would be fenced
+        and every write of the group would stall for a second.
         """
         cut_off = report(0, 5.0, others_silent_s=5.0)
-        self.assertIs(self.judge(cut_off), Verdict.MEMBERS_AWAY)
+        self.assertIs(self.diagnose(cut_off), Diagnosis.MAJORITY_UNREACHABLE)
 
     def test_replica_that_hears_the_primary_delays(self):
-        """The way from the VMs to the primary is lossy; replicas hear it.
+        """Links from the VMs to the primary are lossy; replicas reach it.
 
-        A promotion at once would be needless; one that never comes
-        would leave callers without writes for as long as the cut lasts.
+        An immediate promotion may be needless; without any promotion
+        callers couldn't write as long as the partition lasts.
         """
-        table = [(0.8, Verdict.TOO_FEW_OBSERVERS)]
-        table += [(1.6, Verdict.PRIMARY_LOST)]
-        for silent_s, verdict in table:
+        table = [(0.8, Diagnosis.TOO_FEW_OBSERVERS)]
+        table += [(1.6, Diagnosis.PRIMARY_LOST)]
+        for silent_s, diagnosis in table:
             with self.subTest(silent_s=silent_s):
                 reports = [report(n, silent_s, age_s=0.1) for n in range(6)]
-                self.assertIs(self.judge(*reports), verdict)
+                self.assertIs(self.diagnose(*reports), diagnosis)
 
     def test_packet_loss_of_five_percent(self):
-        """Each probe's segments are lost with five in a hundred.
+        """Each segment of a probe is lost with a probability of 5%.
 
-        TCP sends again after 200 ms, 400 ms, 800 ms. A promotion for
-        that would stall writes although the primary is well.
+        TCP retransmits after 200 ms, 400 ms and 800 ms. A promotion
+        because of that would stall writes although the primary is healthy.
         """
         random = Random(4)
         lost = 0
         for _ in range(20_000):
             reports = [report(n, self.stall(random)) for n in range(6)]
-            lost += self.judge(*reports) is Verdict.PRIMARY_LOST
+            lost += self.diagnose(*reports) is Diagnosis.PRIMARY_LOST
         self.assertEqual(lost, 0)
 
     def stall(self, random):
@@ -118,10 +118,10 @@
 
 class SilenceMeterTest(TestCase):
     def test_pause_of_the_observer_adds_no_silence(self):
-        """An observer VM is frozen for a minute and wakes up.
+        """An observer VM is paused for a minute and resumes.
 
-        To it every member seems to have been silent for a minute; if
-        that counted it would ask for promotions of every group.
+        Every member seems to have been silent for a minute; if that
+        counted, the observer would suspect the primary of every group.
         """
         meter = SilenceMeter(0.0)
         meter.answered(0.15)
@@ -136,62 +136,82 @@
         self.assertAlmostEqual(silent_s, 10 * PROBE_INTERVAL_S)
 
 
-class JudgeOfficeTest(TestCase):
+class DiagnoseLeadershipTest(TestCase):
     def test_table(self):
-        led = Sighting("a", 0.1, 2, True)
-        unled = Sighting("a", 0.1, 3, False)
-        away = Sighting("a", 9.0, 2, True)
-        follower = Sighting("b", 0.1, 2, False)
-        claimed = Sighting("c", 0.1, 3, False)
-        other = Sighting("c", 0.1, 2, False)
+        leading = MemberObservation("a", 0.1, 2, True)
+        not_leading = MemberObservation("a", 0.1, 3, False)
+        unreachable = MemberObservation("a", 9.0, 2, True)
+        follower = MemberObservation("b", 0.1, 2, False)
+        claimed = MemberObservation("c", 0.1, 3, False)
+        other = MemberObservation("c", 0.1, 2, False)
         table = [
-            ("in office", (led, follower, other), 9.0, Verdict.HEALTHY),
-            ("just claimed", (unled, follower, claimed), 0.1, None),
-            ("dead proposer", (unled, follower, claimed), 0.8, "LEADERLESS"),
-            ("stranded", (led, follower, claimed), 3.1, "STRANDED"),
-            ("not yet stranded", (led, follower, claimed), 0.8, None),
-            ("primary away", (away, follower, claimed), 0.8, "LEADERLESS"),
-            ("alone", (follower,), 9.0, Verdict.MEMBERS_AWAY),
+            (
+                "active primary",
+                (leading, follower, other),
+                9.0,
+                Diagnosis.HEALTHY,
+            ),
+            ("just claimed", (not_leading, follower, claimed), 0.1, None),
+            (
+                "dead proposer",
+                (not_leading, follower, claimed),
+                0.8,
+                "LEADERLESS",
+            ),
+            ("stranded", (leading, follower, claimed), 3.1, "STRANDED"),
+            ("not yet stranded", (leading, follower, claimed), 0.8, None),
+            (
+                "primary silent",
+                (unreachable, follower, claimed),
+                0.8,
+                "LEADERLESS",
+            ),
+            ("alone", (follower,), 9.0, Diagnosis.MAJORITY_UNREACHABLE),
         ]
-        for name, sightings, since, expected in table:
+        for name, observations, since, expected in table:
             if isinstance(expected, str):
-                expected = Verdict[expected]
+                expected = Diagnosis[expected]
             with self.subTest(name):
-                verdict = judge_office(MEMBERS, sightings, since)
-                self.assertIs(verdict, expected or Verdict.HEALTHY)
+                diagnosis = diagnose_leadership(MEMBERS, observations, since)
+                self.assertIs(diagnosis, expected or Diagnosis.HEALTHY)
 
 
-class JudgeLeavingTest(TestCase):
+class DiagnoseDrainTest(TestCase):
     def test_table(self):
-        every = tuple(Sighting(member, 0.1) for member in MEMBERS)
-        one_away = every[:2] + (Sighting("c", 3.0),)
+        every = tuple(MemberObservation(member, 0.1) for member in MEMBERS)
+        one_unreachable = every[:2] + (MemberObservation("c", 3.0),)
         table = [
-            ("nobody leaves", (), every, Verdict.HEALTHY),
-            ("a replica leaves", ("b",), every, Verdict.HEALTHY),
-            ("the primary leaves", ("a",), every, Verdict.LEAVING),
-            ("a member is away", ("a",), one_away, Verdict.MEMBERS_AWAY),
-            ("most leave", ("a", "b"), every, Verdict.HEALTHY),
+            ("nobody leaves", (), every, Diagnosis.HEALTHY),
+            ("a replica leaves", ("b",), every, Diagnosis.HEALTHY),
+            ("the primary leaves", ("a",), every, Diagnosis.LEAVING),
+            (
+                "a member is silent",
+                ("a",),
+                one_unreachable,
+                Diagnosis.MAJORITY_UNREACHABLE,
+            ),
+            ("a majority leaves", ("a", "b"), every, Diagnosis.HEALTHY),
         ]
-        for name, leaving, sightings, expected in table:
+        for name, leaving, observations, expected in table:
             with self.subTest(name):
-                verdict = judge_leaving(
-                    "a", MEMBERS, frozenset(leaving), sightings
+                diagnosis = diagnose_drain(
+                    "a", MEMBERS, frozenset(leaving), observations
                 )
-                self.assertIs(verdict, expected)
+                self.assertIs(diagnosis, expected)
 
 
 class ReplicationMeterTest(TestCase):
     def test_table(self):
-        """The links between a primary and its replicas are cut.
+        """The links between a primary and its replicas fail.
 
-        Observers still reach all three. Callers would be told "not
-        confirmed" for every write until somebody mends the network.
+        Observers still reach all three members. Callers would get
+        not-confirmed for every write until the network is repaired.
         """
         head, behind = Position(1, 9), Position(1, 7)
         table = [
             ("nothing to send", [(head, (head, head))] * 3, 0.0),
             ("one keeps up", [(head, (head, behind))] * 3, 0.0),
-            ("all stand still", [(head, (behind, behind))] * 3, 2.0),
+            ("all are stalled", [(head, (behind, behind))] * 3, 2.0),
             ("not all answer", [(head, ())] * 3, 0.0),
             (
                 "fell behind later",
@@ -236,7 +256,7 @@
                 self.assertEqual(len(spread), min(6, data_centres))
 
     def test_work_is_spread_at_full_size(self):
-        """One VM that watched most groups would be overloaded by probes."""
+        """A VM that observed most groups would be overloaded by probes."""
         vms = self.vms(1_000, 14)
         watched_by_vm = {}
         for number in range(130):
--- a/redwingpost/promotion/tests/test_election.py
+++ b/redwingpost/promotion/tests/test_election.py
@@ -1,15 +1,14 @@
-"""Tests of the promotion's state machine, rejoining and lost tails."""
+"""Tests of the promotion state machine, rejoining and dropped positions."""
 
 from unittest import TestCase
 
 from redwingpost.core import Position
 from redwingpost.ports import MemberStatus
 from redwingpost.promotion import (
+    Abort,
     Announce,
     Candidate,
     ClaimAnswer,
-    Fate,
-    GiveUp,
     MemberFailed,
     PromoteAnswer,
     SendFollow,
@@ -17,11 +16,12 @@
     StartTimer,
     Timer,
     TimerFired,
+    WriteOutcome,
     backoff_s,
     continue_from,
-    judge_fate,
     leader_of,
     must_follow,
+    resolve_write,
     start,
     step,
 )
@@ -87,8 +87,8 @@
     def test_no_majority_promotes_nobody(self):
         """Two of three members are unreachable from the proposer.
 
-        A promotion on one member's word would make a second primary
-        beside one that goes on in the other part of the network.
+        A promotion with one accepted claim would create a second primary
+        while the first continues in the other part of the network.
         """
         table = [
             (claim("a", 5), TimerFired(Timer.CLAIM)),
@@ -107,8 +107,8 @@
     def test_leaving_member_is_chosen_only_without_a_choice(self):
         """An operator drains the primary, which is ahead of the others.
 
-        Any majority's most advanced log will do, so the group needn't
-        stay with the member that leaves.
+        The most advanced log of any majority is sufficient, so that the
+        leaving member need not be chosen.
         """
         ahead = claim("a", 9)
         candidates = (Candidate("a", 0, True), *CANDIDATES[1:])
@@ -132,11 +132,11 @@
             with self.subTest(last=events[-1]):
                 election, sent = run(*events)
                 self.assertEqual(of_type(sent, Announce), [])
-                self.assertNotIn(election.phase.name, ("DONE", "GAVE_UP"))
+                self.assertNotIn(election.phase.name, ("DONE", "ABORTED"))
 
     def test_refusal_teaches_the_higher_term(self):
         _, sent = run(ClaimAnswer("b", False, 7), ClaimAnswer("c", False, 3))
-        self.assertEqual(of_type(sent, GiveUp)[0].highest_term, 7)
+        self.assertEqual(of_type(sent, Abort)[0].highest_term, 7)
 
     def test_late_member_within_grace_is_chosen(self):
         grace = TimerFired(Timer.GRACE)
@@ -161,9 +161,9 @@
         self.assertEqual(election.phase.name, "DONE")
 
     def test_chosen_member_dies(self):
-        """The most advanced member dies between its claim and promotion.
+        """The most advanced member fails between its claim and promotion.
 
-        Nobody is announced; the next proposal claims a higher term.
+        No primary is announced; the next attempt claims a higher term.
         """
         table = [TimerFired(Timer.PROMOTE), PromoteAnswer("b", False)]
         for event in table:
@@ -171,7 +171,7 @@
                 events = (claim("a", 5), claim("b", 6), claim("c", 5), event)
                 _, sent = run(*events)
                 self.assertEqual(of_type(sent, Announce), [])
-                self.assertEqual(len(of_type(sent, GiveUp)), 1)
+                self.assertEqual(len(of_type(sent, Abort)), 1)
 
     def test_every_timer_is_started_once(self):
         _, sent = run(claim("a", 5), claim("b", 6), claim("c", 5))
@@ -190,23 +190,26 @@
     return MemberStatus(member, role, promised, at, at, follows, history, 0)
 
 
-class FateTest(TestCase):
+class ResolveWriteTest(TestCase):
     def test_table(self):
         """The primary was replaced before a replica had confirmed."""
         history = (Position(1, 1), Position(2, 8))
         start_of_term = Position(2, 8)
         table = [
-            (Position(1, 7), start_of_term, Fate.SURVIVED),
-            (Position(1, 8), start_of_term, Fate.DROPPED),
-            (Position(1, 8), Position(0, 0), Fate.OPEN),
-            (Position(2, 9), Position(2, 9), Fate.OPEN),
-            (Position(3, 1), start_of_term, Fate.OPEN),
+            (Position(1, 7), start_of_term, WriteOutcome.SURVIVED),
+            (Position(1, 8), start_of_term, WriteOutcome.DROPPED),
+            (Position(1, 8), Position(0, 0), WriteOutcome.UNDECIDED),
+            (Position(2, 9), Position(2, 9), WriteOutcome.UNDECIDED),
+            (Position(3, 1), start_of_term, WriteOutcome.UNDECIDED),
         ]
         for position, confirmed, expected in table:
             with self.subTest(position=position, confirmed=confirmed):
-                fate = judge_fate(position, history, confirmed)
-                self.assertIs(fate, expected)
-        self.assertIs(judge_fate(Position(1, 1), (), history[0]), Fate.OPEN)
+                outcome = resolve_write(position, history, confirmed)
+                self.assertIs(outcome, expected)
+        self.assertIs(
+            resolve_write(Position(1, 1), (), history[0]),
+            WriteOutcome.UNDECIDED,
+        )
 
 
 class RejoinTest(TestCase):
@@ -216,13 +219,13 @@
             ("old primary", status("a", "primary", 1), True),
             ("replica of the old one", status("a", "replica", 1, "a"), True),
             ("claimed, idle", status("a", "replica", 2, ""), True),
-            ("in line", status("a", "replica", 2, "b"), False),
+            ("follows already", status("a", "replica", 2, "b"), False),
             ("claimed again", status("a", "replica", 3, ""), False),
         ]
-        for name, member, told in table:
+        for name, member, listed in table:
             with self.subTest(name):
                 found = must_follow((member, new))
-                self.assertEqual([s.member for s in found], ["a"] * told)
+                self.assertEqual([s.member for s in found], ["a"] * listed)
 
     def test_highest_term_leads(self):
         old, new = status("a", "primary", 1), status("b", "primary", 2, term=2)
@@ -232,10 +235,10 @@
 
 class ContinuationTest(TestCase):
     def test_dropped_position_is_told_once(self):
-        """A session read its own write from a primary that then died.
+        """A session read its own write from a primary that then failed.
 
-        The promotion dropped the write. Served as if nothing were, the
-        session would silently miss what it had seen.
+        The promotion dropped the write. Without an error the session's
+        next read would miss what it had seen.
         """
         history = (Position(1, 1), Position(2, 8), Position(3, 9))
         table = [
--- a/redwingpost/proxy/confirm.py
+++ b/redwingpost/proxy/confirm.py
@@ -25,9 +25,9 @@
 )
 from redwingpost.promotion import (
     Acknowledgements,
-    Decided,
     Decision,
-    PastBound,
+    SettledWrite,
+    UnconfirmedPolicy,
     Wait,
     WaitAnswer,
     replicas_needed,
@@ -108,7 +108,7 @@
         group: str,
         position: Position,
         wait_s: float,
-        past_bound: PastBound = PastBound.REFUSE,
+        past_bound: UnconfirmedPolicy = UnconfirmedPolicy.REFUSE,
     ) -> Decision:
         """Return what the acknowledgement rule makes of a write.
 
@@ -120,7 +120,7 @@
             Where the write committed.
         wait_s : float
             Bound on the wait, in seconds.
-        past_bound : PastBound, optional
+        past_bound : UnconfirmedPolicy, optional
             What its request kind wants past the bound.
         """
         key = self._key(group, position)
@@ -220,7 +220,7 @@
                 await sleep(_BEHIND_PAUSE_S)
         self._pump(key, ledger)
 
-    def _settle(self, decided: tuple[Decided, ...]) -> None:
+    def _settle(self, decided: tuple[SettledWrite, ...]) -> None:
         for done in decided:
             future = self._futures_by_number.get(done.write)
             if future is not None and not future.done():
--- a/redwingpost/proxy/writes.py
+++ b/redwingpost/proxy/writes.py
@@ -26,11 +26,11 @@
     TargetLost,
 )
 from redwingpost.promotion import (
-    CONFIRM_BOUND_S,
+    CONFIRM_TIMEOUT_S,
     Decision,
-    Fate,
-    PastBound,
-    judge_fate,
+    UnconfirmedPolicy,
+    WriteOutcome,
+    resolve_write,
 )
 from redwingpost.proxy.attempts import (
     Committed,
@@ -280,24 +280,26 @@
         """Prove the write safe, or learn what a promotion made of it."""
         request = progress.request
         kind = self._kind(request)
-        bound_s = min(CONFIRM_BOUND_S, self._remaining(request))
+        bound_s = min(CONFIRM_TIMEOUT_S, self._remaining(request))
         decision = await self._confirmer.decide(
             request.group, committed.position, bound_s, kind
         )
         if decision is Decision.ACKNOWLEDGED:
             return committed
         fate = await self._learn_fate(request, committed.position)
-        if fate is Fate.SURVIVED:
+        if fate is WriteOutcome.SURVIVED:
             return committed
-        if fate is Fate.DROPPED:
+        if fate is WriteOutcome.DROPPED:
             return Failed(Failure.DROPPED)
         return Failed(Failure.NOT_CONFIRMED, position=committed.position)
 
-    def _kind(self, request: Request) -> PastBound:
+    def _kind(self, request: Request) -> UnconfirmedPolicy:
         kind = self._directory.configuration.kind(request.marks.kind)
-        return PastBound(kind.unconfirmed)
+        return UnconfirmedPolicy(kind.unconfirmed)
 
-    async def _learn_fate(self, request: Request, position: Position) -> Fate:
+    async def _learn_fate(
+        self, request: Request, position: Position
+    ) -> WriteOutcome:
         """Wait for the next term and judge the write by its history."""
         arrived = await self._views.wait_beyond(
             request.group, position.term, self._remaining(request)
@@ -307,19 +309,21 @@
             return await self._same_term(request, position)
         view: GroupView = self._directory.view(request.group)
         if not view.history:
-            return Fate.OPEN
+            return WriteOutcome.UNDECIDED
         first = view.history[-1]
         if not await self._confirmer.confirm(
             request.group, first, self._remaining(request)
         ):
-            return Fate.OPEN
-        return judge_fate(position, view.history, first)
+            return WriteOutcome.UNDECIDED
+        return resolve_write(position, view.history, first)
 
-    async def _same_term(self, request: Request, position: Position) -> Fate:
+    async def _same_term(
+        self, request: Request, position: Position
+    ) -> WriteOutcome:
         confirmed = await self._confirmer.confirm(
             request.group, position, self._remaining(request)
         )
-        return Fate.SURVIVED if confirmed else Fate.OPEN
+        return WriteOutcome.SURVIVED if confirmed else WriteOutcome.UNDECIDED
 
     async def _after_failure(
         self, progress: _Progress, failed: Failed, term: int
--- a/redwingpost/verify/model.py
+++ b/redwingpost/verify/model.py
@@ -41,7 +41,7 @@
     start,
     step,
 )
-from redwingpost.promotion.resolution import Fate, judge_fate
+from redwingpost.promotion.resolution import WriteOutcome, resolve_write
 from redwingpost.retries.table import (
     Action,
     Failure,
@@ -188,7 +188,7 @@
         proposer = state.proposers[index]
         election, commands = step(proposer.election, event)
         known = max(proposer.known_term, election.highest_term)
-        over = election.phase in (Phase.DONE, Phase.GAVE_UP)
+        over = election.phase in (Phase.DONE, Phase.ABORTED)
         # What can't matter any more is forgotten, so that states merge.
         known = known if proposer.left else 0
         proposer = proposer._replace(
@@ -414,12 +414,12 @@
                 continue
             history = history_of(member)
             confirmed = self._confirmed_start(state, member, history[-1])
-            fate = judge_fate(writer.position, history, confirmed)
+            fate = resolve_write(writer.position, history, confirmed)
             name = f"{writer.name} learns from {member.name}: {fate.name}"
-            if fate is Fate.SURVIVED:
+            if fate is WriteOutcome.SURVIVED:
                 term = member.own_term
                 yield name, self._acknowledge(state, index, writer, term)
-            if fate is Fate.DROPPED:
+            if fate is WriteOutcome.DROPPED:
                 # From here on its proxy knows this term: an older primary,
                 # which still holds the dropped write, is not asked again.
                 knows = writer._replace(known_term=member.own_term)
@@ -450,7 +450,7 @@
         replicas = [name for name in names if name != writer.primary]
         needed = replicas_needed(len(names))
         acks = Acknowledgements(writer.position.term, replicas, needed)
-        decided = list(acks.add(1, writer.position, bound_at=1.0))
+        decided = list(acks.add(1, writer.position, expires_at=1.0))
         for answer in sorted(writer.answers):
             decided.extend(acks.answered(0, answer))
         return any(d.decision is Decision.ACKNOWLEDGED for d in decided)
