--- a/redwingpost/proxy/attempts.py
+++ b/redwingpost/proxy/attempts.py
@@ -9,7 +9,7 @@
     decode_record,
     fingerprint,
     insert_sql,
-    judge_duplicate,
+    resolve_duplicate,
     select_sql,
     update_sql,
 )
@@ -150,7 +150,7 @@
     name = (write.organisation, write.idempotency_key)
     found = await connection.execute(select_sql(*name), timeout)
     record = decode_record(*name, found.rows[0]) if found.rows else None
-    answer = judge_duplicate(record, fingerprint(write.sql))
+    answer = resolve_duplicate(record, fingerprint(write.sql))
     if answer.refusal is not None:
         return answer.refusal
     result = StatementResult(
--- a/redwingpost/proxy/writes.py
+++ b/redwingpost/proxy/writes.py
@@ -340,7 +340,7 @@
             progress.may_have_run = True
         if failure is Failure.DROPPED:
             progress.may_have_run = False
-        if step.action in (Action.RETRY, Action.ASK_RECORD):
+        if step.action in (Action.RETRY, Action.RETRY_WITH_KEY):
             await self._pause(progress, failure, term)
             return None
         if failed.on_record:
--- a/redwingpost/retries/__init__.py
+++ b/redwingpost/retries/__init__.py
@@ -1,1 +1,1 @@
-"""What becomes of a request that failed: retry, ask, or answer truly."""
+"""Handling of failed requests: retry rules, budget, idempotency records."""
--- a/redwingpost/retries/idempotency.py
+++ b/redwingpost/retries/idempotency.py
@@ -1,13 +1,13 @@
-"""Records of idempotency keys: what they hold, and what a duplicate gets.
+"""Records of idempotency keys and the answers to duplicate requests.
 
-The record stands in the target, in the caller's own transaction, so that
-it commits, replicates and fails over with the write itself. A key that
-was kept anywhere else could survive a write that a promotion dropped, or
-be lost with a write that stayed.
+A record is stored in the target, in the transaction of the caller's
+write, so that it commits, replicates and fails over together with the
+write. A record stored elsewhere could outlive a write that a promotion
+dropped, or be lost although the write was kept.
 
-Load pattern: retries of callers and proxies, two copies of one request
-at two proxies at once, a caller that reuses a key for another statement,
-and years of keys that nobody asks for any more.
+Load pattern: retries by callers and proxies, two copies of one request
+at two proxies at the same time, a caller that reuses a key for another
+statement, and years of keys that are no longer used.
 """
 
 from enum import Enum
@@ -19,24 +19,24 @@
 
 TABLE = "redwing_idempotency"
 
-#: A caller that retries does so within its own deadline, or after a
-#: night's outage; a day covers both.
+#: A caller retries within its deadline, or after an outage of a night;
+#: one day covers both.
 RETENTION_S = 24 * 3600.0
 
-#: A deletion takes a slot as a write does: small enough to last a few
-#: milliseconds, so that it stalls nobody.
+#: A deletion occupies a slot like a write. A batch of this size takes a few
+#: milliseconds, so that other statements aren't delayed.
 PURGE_BATCH = 200
 
-#: One purge per so many keyed writes. 200 rows go for every 100 that
-#: come, so the table shrinks to what the retention covers.
+#: Number of keyed writes between two purges. For every 100 new rows up to
+#: 200 are deleted, so the table shrinks to what the retention covers.
 WRITES_PER_PURGE = 100
 
-#: Longest key, in characters; it is part of the primary key.
+#: Maximum length of a key, in characters; it is part of the primary key.
 MAX_KEY_CHARS = 128
 
 
 class Record(NamedTuple):
-    """A key's row. ``created`` is in seconds since the epoch."""
+    """Row of a key. ``created`` is in seconds since the epoch."""
 
     organisation: str
     idempotency_key: str
@@ -47,7 +47,7 @@
 
 
 class Duplicate(Enum):
-    """What a second sending of a key finds."""
+    """State of a key that a duplicate request finds."""
 
     RECORDED = "recorded"
     REUSED = "reused for another statement"
@@ -55,7 +55,7 @@
 
 
 class DuplicateAnswer(NamedTuple):
-    """What the second sender is told: a recorded result or a refusal."""
+    """Answer to a duplicate request: a recorded result or a refusal."""
 
     duplicate: Duplicate
     record: Record | None
@@ -63,13 +63,13 @@
 
 
 def fingerprint(sql: str) -> str:
-    """Return 32 hexadecimal digits that stand for the statement.
+    """Return a hash of the statement as 32 hexadecimal digits.
 
     Parameters
     ----------
     sql : str
-        The statement as the target gets it, marks stripped, values
-        bound: the same order for two parishes differs.
+        The statement as sent to the target, without marks and with
+        bound values: equal orders for two parishes differ.
 
     Examples
     --------
@@ -78,26 +78,26 @@
     >>> fingerprint("INSERT 1") == fingerprint("INSERT 2")
     False
     """
-    # Blanks inside are kept: they may belong to a string literal.
+    # Inner whitespace is kept: it may belong to a string literal.
     return xxh3_128_hexdigest(sql.strip().encode())
 
 
-def judge_duplicate(
+def resolve_duplicate(
     record: Record | None, statement_fingerprint: str
 ) -> DuplicateAnswer:
-    """Say what a request gets whose key was found taken.
+    """Return the answer to a request whose key already exists.
 
     Parameters
     ----------
     record : Record or None
-        The committed record; None where the key is taken by a
-        transaction that has not committed.
+        The committed record; None if the transaction that inserted the
+        key has not committed.
     statement_fingerprint : str
-        Of the statement that came now.
+        Fingerprint of the current statement.
 
     Examples
     --------
-    >>> judge_duplicate(None, "ab").refusal.code.name
+    >>> resolve_duplicate(None, "ab").refusal.code.name
     'still-running'
     """
     if record is None:
@@ -112,8 +112,8 @@
 def quote(text: str) -> str:
     """Return ``text`` as an SQL string literal.
 
-    Hexadecimal, so that no quoting rule of the target's SQL mode
-    (``NO_BACKSLASH_ESCAPES``) can turn a key into SQL.
+    The literal is hexadecimal, so that the quoting rules of the target's
+    SQL mode (``NO_BACKSLASH_ESCAPES``) can't turn a key into SQL.
 
     Examples
     --------
@@ -124,7 +124,7 @@
 
 
 def create_table_sql() -> str:
-    """Return the statement that creates the table where it is absent."""
+    """Return the statement that creates the table if it doesn't exist."""
     return (
         f"CREATE TABLE IF NOT EXISTS {TABLE} ("
         "organisation VARBINARY(128) NOT NULL, "
@@ -137,12 +137,14 @@
     )
 
 
-def insert_sql(organisation: str, key: str, print_: str, created: int) -> str:
-    """Return the statement that takes the key, before the caller's."""
+def insert_sql(
+    organisation: str, key: str, statement_fingerprint: str, created: int
+) -> str:
+    """Return the statement that inserts the key, before the caller's."""
     return (
         f"INSERT INTO {TABLE} (organisation, idempotency_key, "
         "fingerprint, affected_rows, last_insert_id, created) VALUES ("
-        f"{quote(organisation)}, {quote(key)}, '{print_}', "
+        f"{quote(organisation)}, {quote(key)}, '{statement_fingerprint}', "
         f"0, 0, {created})"
     )
 
@@ -171,8 +173,8 @@
 def purge_sql(now: int, retention_s: float = RETENTION_S) -> str:
     """Return the statement that deletes a batch of expired records.
 
-    The inner table is derived: MySQL takes no LIMIT in a subquery of
-    IN, and none over the table that is being deleted from.
+    The inner query is a derived table: MySQL supports neither LIMIT in a
+    subquery of IN nor a subquery on the table that rows are deleted from.
     """
     expired = now - int(retention_s)
     return (
@@ -184,14 +186,14 @@
 
 
 def decode_record(organisation: str, key: str, row: tuple) -> Record:
-    """Return the record that a row of ``select_sql`` holds."""
-    print_, affected_rows, last_insert_id, created = row
-    if isinstance(print_, bytes):
-        print_ = print_.decode()
+    """Return the record in a result row of ``select_sql``."""
+    statement_fingerprint, affected_rows, last_insert_id, created = row
+    if isinstance(statement_fingerprint, bytes):
+        statement_fingerprint = statement_fingerprint.decode()
     return Record(
         organisation,
         key,
-        print_,
+        statement_fingerprint,
         int(affected_rows),
         int(last_insert_id),
         int(created),
@@ -199,7 +201,7 @@
 
 
 class PurgeCounter:
-    """Says which keyed write is to be followed by a purge.
+    """Counts keyed writes to schedule purges.
 
     Examples
     --------
@@ -213,6 +215,6 @@
         self._writes = 0
 
     def due(self) -> bool:
-        """Count one keyed write and say whether a purge follows."""
+        """Count a keyed write and return whether a purge is due."""
         self._writes += 1
         return self._writes % self._every == 0
--- a/redwingpost/retries/table.py
+++ b/redwingpost/retries/table.py
@@ -1,15 +1,16 @@
-"""The retry rule as a table: request class by how it failed.
-
-Load pattern: a lost primary makes every statement in flight fail at
-once, each in its own way. A write that is sent again although it ran is
-a doubled order; a write answered "not run" although it ran is ordered
-again by the caller, which is the same. So each pair of request class and
-failure has one row here, and nothing else decides about retries.
-
-Two facts besides the row matter. ``may_have_run``: an earlier attempt's
-answer was lost, so "not run" can't be said any more whatever the last
-attempt met. ``can_retry``: time is left before the deadline and the
-retry budget allows it.
+"""Retry rules as a table of request class and failure.
+
+Load pattern: the loss of a primary makes all statements in flight fail
+at once, in different ways. A write that ran and is sent again is a
+duplicate order. A write that ran and is answered "not run" is repeated
+by the caller, with the same result. Each pair of request class and
+failure therefore has one row here, and nothing else decides about
+retries except two conditions:
+
+- ``earlier_may_have_run``: the answer of an earlier attempt was lost, so
+  "not run" is no longer a correct answer, however the last one failed.
+- ``can_retry``: there is time left before the deadline and the retry
+  budget allows another attempt.
 """
 
 from enum import Enum
@@ -19,7 +20,7 @@
 
 
 class RequestClass(Enum):
-    """What a failed request may be told and how it may be repeated."""
+    """Class of a request, by how it may be repeated and answered."""
 
     READ = "read"
     KEYED_WRITE = "keyed write"
@@ -29,7 +30,7 @@
 
 
 class Failure(Enum):
-    """How an attempt failed, as far as the proxy can tell."""
+    """How an attempt failed, as far as the proxy can determine."""
 
     NOT_SENT = "nothing was sent"
     COMMIT_NOT_SENT = "no answer, but its commit was not sent yet"
@@ -46,19 +47,19 @@
 
 
 class Action(Enum):
-    """What the proxy does next."""
+    """Next action of the proxy."""
 
-    RETRY = "send it again, to whoever is right now"
-    ASK_RECORD = "send it again with its key; the record answers"
+    RETRY = "send it again, to a member that is now suitable"
+    RETRY_WITH_KEY = "send it again with its key; the record answers"
     ANSWER = "answer with the rule's code"
     PASS_ERROR = "pass the target's error on"
 
 
 class Rule(NamedTuple):
-    """One row: what to do while retrying is possible, and else.
+    """One row of the table.
 
-    ``code`` answers where ``action`` can't be taken. None stands for the
-    target's own error.
+    ``action`` is taken if possible; otherwise ``code`` is the answer.
+    None stands for the target's own error.
     """
 
     action: Action
@@ -66,14 +67,14 @@
 
 
 class NextStep(NamedTuple):
-    """What to do about a failed attempt."""
+    """Action after a failed attempt, with the code of an answer."""
 
     action: Action
     code: ResultCode | None
 
 
 _RETRY = Action.RETRY
-_ASK = Action.ASK_RECORD
+_RETRY_WITH_KEY = Action.RETRY_WITH_KEY
 _ANSWER = Action.ANSWER
 _PASS = Rule(Action.PASS_ERROR, None)
 _UNKNOWN = Code.OUTCOME_UNKNOWN
@@ -81,7 +82,7 @@
 _COMMIT_UNKNOWN = Rule(_ANSWER, Code.COMMIT_UNKNOWN)
 
 _READ = {
-    # A read changes nothing, so it may run as often as it takes.
+    # A read changes nothing, so it may be repeated any number of times.
     Failure.NOT_SENT: Rule(_RETRY, Code.TARGET_LOST),
     Failure.COMMIT_NOT_SENT: Rule(_RETRY, Code.TARGET_LOST),
     Failure.NO_ANSWER: Rule(_RETRY, _UNKNOWN),
@@ -97,25 +98,25 @@
 }
 
 _KEYED_WRITE = {
-    # The record in the target makes a second sending harmless. It runs
-    # as a transaction: without COMMIT, a lost answer changed nothing.
+    # The record in the target makes a repetition safe. The write runs in a
+    # transaction: if COMMIT wasn't sent, a lost answer changed nothing.
     Failure.NOT_SENT: Rule(_RETRY, Code.TARGET_LOST),
     Failure.COMMIT_NOT_SENT: Rule(_RETRY, Code.TARGET_LOST),
-    Failure.NO_ANSWER: Rule(_ASK, _UNKNOWN),
+    Failure.NO_ANSWER: Rule(_RETRY_WITH_KEY, _UNKNOWN),
     Failure.READ_ONLY: Rule(_RETRY, Code.NO_PRIMARY),
     Failure.LOCK_WAIT: Rule(_RETRY, None),
     Failure.DEADLOCK: Rule(_RETRY, None),
     Failure.SHUTTING_DOWN: Rule(_RETRY, Code.TARGET_LOST),
     Failure.TOO_MANY_CONNECTIONS: Rule(_RETRY, Code.TARGET_LOST),
     Failure.OTHER_ERROR: _PASS,
-    # The record tells at the next primary whether the write survived.
-    Failure.NOT_CONFIRMED: Rule(_ASK, Code.NOT_CONFIRMED),
+    # The record at the next primary shows whether the write was kept.
+    Failure.NOT_CONFIRMED: Rule(_RETRY_WITH_KEY, Code.NOT_CONFIRMED),
     Failure.DROPPED: Rule(_RETRY, Code.TRANSACTION_ROLLED_BACK),
     Failure.DEADLINE: Rule(_ANSWER, _UNKNOWN),
 }
 
 _UNKEYED_WRITE = {
-    # Sent once; again only where the target can't have run it.
+    # Sent again only if the target can't have run it.
     Failure.NOT_SENT: Rule(_RETRY, Code.TARGET_LOST),
     Failure.COMMIT_NOT_SENT: Rule(_RETRY, Code.TARGET_LOST),
     Failure.NO_ANSWER: Rule(_ANSWER, _UNKNOWN),
@@ -131,8 +132,8 @@
 }
 
 _IN_TRANSACTION = {
-    # Without its COMMIT nobody can commit it: losing the connection
-    # rolls it back, and what it read before can't be read again.
+    # Without its COMMIT the transaction can't be committed: a lost
+    # connection rolls it back, and its earlier reads can't be repeated.
     Failure.NOT_SENT: _ROLLED_BACK,
     Failure.COMMIT_NOT_SENT: _ROLLED_BACK,
     Failure.NO_ANSWER: _ROLLED_BACK,
@@ -178,7 +179,7 @@
     1290: Failure.READ_ONLY,
 }
 
-#: Failures after which the statement may stand in the target's log.
+#: Failures after which the target's log may contain the statement.
 _MAY_HAVE_RUN = {
     Failure.NO_ANSWER,
     Failure.NOT_CONFIRMED,
@@ -187,7 +188,7 @@
 
 
 def failure_of_error(number: int) -> Failure:
-    """Return the failure that a MySQL error number stands for.
+    """Return the failure of a MySQL error number.
 
     Examples
     --------
@@ -198,7 +199,7 @@
 
 
 def may_have_run(failure: Failure) -> bool:
-    """Say whether the statement may have taken effect nevertheless."""
+    """Return whether the statement may have taken effect nevertheless."""
     return failure in _MAY_HAVE_RUN
 
 
@@ -208,19 +209,19 @@
     can_retry: bool,
     earlier_may_have_run: bool = False,
 ) -> NextStep:
-    """Look the failure up and return what to do about it.
+    """Return the next step after a failed attempt.
 
     Parameters
     ----------
     request_class : RequestClass
-        What kind of request failed.
+        Class of the failed request.
     failure : Failure
         How its last attempt failed.
     can_retry : bool
-        Whether deadline and budget leave room for another attempt.
+        Whether the deadline and the budget allow another attempt.
     earlier_may_have_run : bool, optional
         Whether an earlier attempt of this request may have taken
-        effect. Its final answer is then never "not run".
+        effect. The final answer is then never "not run".
 
     Returns
     -------
@@ -230,7 +231,7 @@
     Examples
     --------
     >>> next_step(RequestClass.KEYED_WRITE, Failure.NO_ANSWER, True)
-    NextStep(action=<Action.ASK_RECORD: 'send it again with its key; \
+    NextStep(action=<Action.RETRY_WITH_KEY: 'send it again with its key; \
 the record answers'>, code=None)
     >>> step = next_step(
     ...     RequestClass.KEYED_WRITE, Failure.NOT_SENT, False, True
--- a/redwingpost/retries/tests/test_retries.py
+++ b/redwingpost/retries/tests/test_retries.py
@@ -12,15 +12,15 @@
     decode_record,
     fingerprint,
     insert_sql,
-    judge_duplicate,
     purge_sql,
+    resolve_duplicate,
     select_sql,
     update_sql,
 )
 from redwingpost.retries.table import (
+    RULES_BY_CLASS,
     Action,
     Failure,
-    RULES_BY_CLASS,
     RequestClass,
     failure_of_error,
     may_have_run,
@@ -36,10 +36,10 @@
                 self.assertEqual(set(rules), set(Failure))
 
     def test_not_run_is_said_only_where_nothing_ran(self):
-        """A target commits and its answer is lost on the way.
+        """A target commits a write and its answer is lost.
 
-        A caller that is told "not run" would order again and get two
-        kits, so whatever may have run never ends in "not run".
+        With the answer "not run" the caller would order again and get
+        two kits, so a write that may have run never ends in "not run".
         """
         for request_class in RequestClass:
             for failure in Failure:
@@ -61,8 +61,8 @@
     def test_unkeyed_write_is_never_sent_twice_after_it_may_have_run(self):
         """The answer to an order without a key is lost.
 
-        Sent again, the chapel gets two kits; nobody can tell the copies
-        apart, so the caller learns that the outcome is unknown.
+        Sent again, it would be delivered twice. The copies can't be
+        told apart, so the answer is that the outcome is unknown.
         """
         for failure in Failure:
             if not may_have_run(failure):
@@ -78,8 +78,8 @@
         inside = RequestClass.IN_TRANSACTION
         table = [
             (read, Failure.NO_ANSWER, True, Action.RETRY, None),
-            (keyed, Failure.NO_ANSWER, True, Action.ASK_RECORD, None),
-            (keyed, Failure.NOT_CONFIRMED, True, Action.ASK_RECORD, None),
+            (keyed, Failure.NO_ANSWER, True, Action.RETRY_WITH_KEY, None),
+            (keyed, Failure.NOT_CONFIRMED, True, Action.RETRY_WITH_KEY, None),
             (
                 keyed,
                 Failure.NO_ANSWER,
@@ -147,11 +147,10 @@
 
 class BudgetTest(TestCase):
     def test_retries_stay_a_tenth_of_the_load(self):
-        """A full target fails every statement for a long while.
+        """An overloaded target fails every statement for a long time.
 
-        With three sendings each it would get three times the load and
-        never recover; what callers notice is that a short trouble
-        doesn't end.
+        With three attempts each it would get three times the load and
+        never recover; to callers a short overload becomes permanent.
         """
         budget = RetryBudget()
         retries = 0
@@ -166,7 +165,7 @@
 
 
 class IdempotencySqlTest(TestCase):
-    """The statements run as they are; SQLite takes the same ones."""
+    """Runs the statements unchanged on SQLite, which accepts them too."""
 
     def setUp(self):
         self.database = connect(":memory:", isolation_level=None)
@@ -176,15 +175,15 @@
     def test_record_round_trip(self):
         for key in ("k1", "it's", "a\\'b; --", "ключ-課"):
             with self.subTest(key=key):
-                print_ = fingerprint("INSERT 1")
-                insert = insert_sql("diocese", key, print_, 100)
+                statement_fingerprint = fingerprint("INSERT 1")
+                insert = insert_sql("diocese", key, statement_fingerprint, 100)
                 self.database.execute(insert)
                 self.database.execute(update_sql("diocese", key, 3, 77))
                 select = select_sql("diocese", key)
                 row = self.database.execute(select).fetchone()
                 self.assertEqual(
                     decode_record("diocese", key, row),
-                    Record("diocese", key, print_, 3, 77, 100),
+                    Record("diocese", key, statement_fingerprint, 3, 77, 100),
                 )
 
     def test_second_copy_meets_the_first_ones_key(self):
@@ -194,10 +193,10 @@
             self.database.execute(insert_sql("a", "k", "f", 1))
 
     def test_purge_takes_a_batch_of_the_expired(self):
-        """Keys pile up for years and the target's disk fills.
+        """Keys accumulate for years and fill the target's disk.
 
-        One statement that deletes them all would hold a slot for
-        seconds, which callers notice as stalls.
+        A single statement that deletes all of them would occupy a slot
+        for seconds and stall callers.
         """
         for number in range(450):
             sql = insert_sql("a", f"old-{number}", "f", 1_000)
@@ -218,9 +217,9 @@
             (record, "print-2", Duplicate.REUSED, Code.KEY_REUSED),
             (None, "print-1", Duplicate.RUNNING, Code.STILL_RUNNING),
         ]
-        for found, print_, duplicate, code in table:
+        for found, statement_fingerprint, duplicate, code in table:
             with self.subTest(duplicate=duplicate):
-                answer = judge_duplicate(found, print_)
+                answer = resolve_duplicate(found, statement_fingerprint)
                 self.assertIs(answer.duplicate, duplicate)
                 refused = answer.refusal and answer.refusal.code
                 self.assertEqual(refused, code)
--- a/redwingpost/verify/model.py
+++ b/redwingpost/verify/model.py
@@ -472,7 +472,7 @@
             can_retry,
             writer.may_have_run,
         )
-        again = following.action in (Action.RETRY, Action.ASK_RECORD)
+        again = following.action in (Action.RETRY, Action.RETRY_WITH_KEY)
         if not self.rules.retry_table and can_retry:
             again = True
         if again:
