--- a/redwingpost/sessions/__init__.py
+++ b/redwingpost/sessions/__init__.py
@@ -1,4 +1,4 @@
-"""What a caller's session has seen, and the token that carries it."""
+"""Positions that a caller's session has seen, and tokens carrying them."""
 
 from redwingpost.sessions.positions import SessionPositions
 from redwingpost.sessions.tokens import SessionToken, TokenMinter
--- a/redwingpost/sessions/positions.py
+++ b/redwingpost/sessions/positions.py
@@ -1,8 +1,8 @@
-"""What one session has seen of each database group's log.
+"""Log positions that a session has seen, per database group.
 
-Answers a caller that writes through one VM and reads through another, or
-from a replica that lags: a read may only go to a member proven to hold
-the session's position. Without it the caller misses its own write.
+A caller may write through one VM and read through another, or read from
+a lagging replica. To let it see its own writes, a read goes only to a
+member that is proven to hold the session's position.
 """
 
 from collections.abc import Mapping
@@ -11,15 +11,15 @@
 
 
 class SessionPositions:
-    """The highest position that a session wrote or read, by group.
+    """Highest position that a session wrote or read, by group.
 
     Parameters
     ----------
     positions_by_group : Mapping of str to Position
-        What a token brought along.
+        Positions from a token.
     whole : bool
-        True if groups that aren't listed were never touched by the
-        session; False if nothing is known of them.
+        True if the session never used the groups that aren't listed;
+        False if nothing is known about them.
 
     Examples
     --------
@@ -42,34 +42,38 @@
 
     @property
     def by_group(self) -> Mapping[str, Position]:
-        """The positions as they stand."""
+        """The current positions."""
         return self._positions_by_group
 
     @property
     def whole(self) -> bool:
-        """Whether groups that aren't listed are known to be untouched."""
+        """Whether groups that aren't listed are known to be unused."""
         return self._whole
 
     def after(self, group: str) -> Position | None:
-        """Return the position a read of ``group`` must follow.
+        """Return the position that a read of ``group`` must reach.
 
         Returns
         -------
         Position or None
-            None where nothing is known: only the primary will do.
+            None if nothing is known; the read must then go to the
+            primary.
         """
         unlisted = ZERO_POSITION if self._whole else None
         return self._positions_by_group.get(group, unlisted)
 
     def advance(self, group: str, position: Position) -> None:
-        """Note a write's or a read's position; never goes back."""
+        """Record the position of a write or a read.
+
+        A position lower than the known one is ignored.
+        """
         known = self._positions_by_group.get(group, ZERO_POSITION)
         self._positions_by_group[group] = max(known, position)
 
     def merge(
         self, positions_by_group: Mapping[str, Position], whole: bool
     ) -> None:
-        """Take in what a token holds besides what is known."""
+        """Merge the positions of a token into the known ones."""
         for group, position in positions_by_group.items():
             self.advance(group, position)
         self._whole = self._whole or whole
--- a/redwingpost/sessions/tests/test_fuzz_tokens.py
+++ b/redwingpost/sessions/tests/test_fuzz_tokens.py
@@ -1,4 +1,4 @@
-"""Tokens from strangers: none but our own, unchanged, is ever taken."""
+"""Fuzz tests of session tokens: only unmodified ones are accepted."""
 
 from unittest import TestCase
 
@@ -33,7 +33,7 @@
     @fuzz(1000)
     @given(integers(0, 200), integers(0, 200), text(max_size=3))
     def test_changed_tokens(self, start, length, put_in):
-        """A caller cuts from its token or writes into it."""
+        """A caller removes a part of its token or inserts text."""
         start = start % len(self.token)
         changed = self.token[:start] + put_in + self.token[start + length :]
         if changed.rstrip("=") != self.token:
--- a/redwingpost/sessions/tests/test_sessions.py
+++ b/redwingpost/sessions/tests/test_sessions.py
@@ -20,8 +20,8 @@
         self.assertEqual(token, ("puno", "s", AT, True))
 
     def test_tokens_that_are_not_ours(self):
-        # A caller edits its token, cuts it short or makes one up, to
-        # read what it may not or to make a proxy wait for nothing.
+        # A caller modifies, truncates or forges a token, to bypass its
+        # session's positions or to make a proxy wait in vain.
         flipped = ("B" if self.token[8] != "B" else "C").join(
             (self.token[:8], self.token[9:])
         )
@@ -49,8 +49,8 @@
         self.assertEqual(refusal.code, Code.TOKEN_FOREIGN)
 
     def test_rotation(self):
-        # VMs get the new secret one after another: tokens of either
-        # kind must be good on all of them meanwhile.
+        # VMs get the new secret one after another; meanwhile all of them
+        # must accept tokens signed with either secret.
         before, after = TokenMinter((OLD, NEW)), TokenMinter((NEW,))
         self.assertTrue(before.read(self.token, "puno").is_ok())
         self.assertTrue(after.read(self.token, "puno").is_ok())
--- a/redwingpost/sessions/tokens.py
+++ b/redwingpost/sessions/tokens.py
@@ -1,12 +1,12 @@
-"""Session tokens: positions per group that the caller carries along.
+"""Session tokens: positions per group, stored by the caller.
 
-Answers callers that roam between VMs, which keep nothing. The token is
-authenticated, since a caller that could write positions of its own could
-make a proxy wait for log entries that never come, or read as if it had
-no past; and it names its organisation, so that one organisation's token
-is of no use to another.
+Callers may switch between VMs, which keep no session state. Tokens are
+authenticated: with forged positions a caller could make a proxy wait for
+log entries that never arrive, or bypass the positions of its session. A
+token contains its organisation, so that other organisations can't use
+it.
 
-Form: base64url of a MessagePack list followed by its HMAC-SHA256.
+Format: base64url of a MessagePack list followed by its HMAC-SHA256.
 """
 
 from base64 import b64decode, urlsafe_b64encode
@@ -22,23 +22,23 @@
 
 from redwingpost.core import Code, Position, Refusal
 
-#: Bytes of the HMAC that a token carries. 128 bits can't be guessed, and
-#: half of SHA-256's output is what RFC 2104, section 5 allows.
+#: Bytes of the HMAC in a token. 128 bits can't be guessed, and RFC 2104,
+#: section 5 allows truncation to half of the output of SHA-256.
 MAC_BYTES = 16
 
-#: A token travels in a statement's leading comment. 32 groups of names
-#: of 64 characters come to 3.3 KB; most callers touch three groups.
+#: A token is sent in the leading comment of a statement. 32 groups with
+#: names of 64 characters need 3.3 KB; most callers use three groups.
 MAX_GROUPS = 32
 MAX_TOKEN_CHARS = 8192
 
-_FORM = 1
+_FORMAT_VERSION = 1
 
 
 class SessionToken(NamedTuple):
-    """A token that was proved to be ours.
+    """Contents of an authenticated token.
 
-    ``whole`` is False where groups had to be left out: reads of those
-    must ask the primary.
+    ``whole`` is False if groups had to be left out; reads of those must
+    go to the primary.
     """
 
     organisation: str
@@ -60,13 +60,14 @@
 
 
 class TokenMinter:
-    """Signs and checks tokens.
+    """Signs and verifies tokens.
 
     Parameters
     ----------
     secrets : tuple of str
-        The first signs, all are accepted: a new secret is added behind
-        the old one on every VM, then put first, then the old one goes.
+        Tokens are signed with the first secret and accepted with any.
+        To rotate, append the new secret on every VM, then move it to
+        the front, then remove the old one.
 
     Raises
     ------
@@ -95,10 +96,10 @@
         positions_by_group: Mapping[str, Position],
         whole: bool = True,
     ) -> str:
-        """Return the token of a session."""
+        """Return a signed token with the positions of a session."""
         kept = dict(sorted(positions_by_group.items())[:MAX_GROUPS])
         payload = _Payload(
-            form=_FORM,
+            form=_FORMAT_VERSION,
             organisation=organisation,
             session=session,
             whole=whole and len(kept) == len(positions_by_group),
@@ -111,14 +112,14 @@
     def read(
         self, token: str, organisation: str
     ) -> Result[SessionToken, Refusal]:
-        """Check a token that a caller of ``organisation`` presents.
+        """Verify and decode a token of a caller of ``organisation``.
 
         Returns
         -------
         Result
-            The token, or ``Code.TOKEN_INVALID`` where it is truncated or
-            forged, or ``Code.TOKEN_FOREIGN`` where it is another
-            organisation's.
+            The contents, ``Code.TOKEN_INVALID`` if the token is
+            truncated or forged, or ``Code.TOKEN_FOREIGN`` if it belongs
+            to another organisation.
         """
         body = self._authenticate(token)
         if body is None:
@@ -127,8 +128,8 @@
             payload = _DECODER.decode(body)
         except MsgspecError:
             return Error(Refusal(Code.TOKEN_INVALID))
-        if payload.form != _FORM:
-            return Error(Refusal(Code.TOKEN_INVALID, "of an unknown form"))
+        if payload.form != _FORMAT_VERSION:
+            return Error(Refusal(Code.TOKEN_INVALID, "unknown token format"))
         if payload.organisation != organisation:
             return Error(Refusal(Code.TOKEN_FOREIGN))
         positions = {
@@ -141,7 +142,7 @@
         )
 
     def _authenticate(self, token: str) -> bytes | None:
-        """Return the body of a token that one of the secrets signed."""
+        """Return the body of a token, or None if its signature is wrong."""
         if not 0 < len(token) <= MAX_TOKEN_CHARS:
             return None
         padding = "=" * (-len(token) % 4)
