--- a/redwingpost/core/__init__.py
+++ b/redwingpost/core/__init__.py
@@ -1,4 +1,4 @@
-"""Vocabulary that every other package shares: types, codes, registries."""
+"""Types, result codes and registries that all other packages share."""
 
 from redwingpost.core.codes import (
     CODES_BY_NAME,
@@ -13,7 +13,7 @@
     ZERO_POSITION,
     History,
     Position,
-    lost_by,
+    is_dropped,
 )
 from redwingpost.core.registry import Registry
 from redwingpost.core.requests import (
@@ -51,7 +51,7 @@
     "StatementKind",
     "VmAddress",
     "ZERO_POSITION",
-    "lost_by",
+    "is_dropped",
     "read_marks",
     "render_code_table",
 ]
--- a/redwingpost/core/codes.py
+++ b/redwingpost/core/codes.py
@@ -1,8 +1,9 @@
-"""Numbered result codes: every refusal and error has one.
+"""Numbered result codes, one for each kind of refusal and error.
 
-Codes travel as MySQL error numbers. MySQL's own numbers end below
-10,000 and MariaDB's below 5,000, so 20,000 and up can't be mistaken for
-a target's own error. ``docs/RESULT-CODES.md`` is printed from here.
+Codes are sent as MySQL error numbers. MySQL's own numbers end below
+10,000 and MariaDB's below 5,000, so numbers from 20,000 can't be confused
+with a target's own errors. ``docs/RESULT-CODES.md`` is generated from
+this module.
 """
 
 from enum import Enum
@@ -10,7 +11,7 @@
 
 
 class Outcome(Enum):
-    """What became of the statement, as far as the proxy can prove."""
+    """Outcome of a statement, as far as the proxy can prove it."""
 
     NOT_RUN = "not run"
     ROLLED_BACK = "rolled back"
@@ -19,7 +20,7 @@
 
 
 class ResultCode(NamedTuple):
-    """One numbered code and what it tells the caller."""
+    """A numbered result code with its meaning for the caller."""
 
     number: int
     name: str
--- a/redwingpost/core/marks.py
+++ b/redwingpost/core/marks.py
@@ -1,12 +1,12 @@
-"""Request marks: what a caller says about one statement.
+"""Request marks: options of a single statement, set by the caller.
 
-Marks arrive as query attributes, or as a leading comment from drivers
-that have none::
+Marks are sent as query attributes, or as a leading comment by drivers
+without query attributes::
 
     /* redwing: kind=order, idempotency_key=o-17, deadline_ms=500 */ INSERT …
 
-They are read once and the comment is cut off before the statement goes
-to a target.
+They are parsed once, and the comment is removed before the statement is
+sent to a target.
 """
 
 from collections.abc import Mapping
@@ -19,13 +19,13 @@
 from redwingpost.core.codes import Code
 from redwingpost.core.requests import Marks, Refusal
 
-#: Longest value of a mark, in characters. Tokens are the longest: some
-#: 60 characters and 30 more a group; 4 kB leaves room for 100 groups and
-#: keeps a hostile mark from filling tables that are keyed by it.
+#: Maximum length of a mark's value, in characters. Tokens are the longest
+#: values: about 60 characters plus 30 per group. 4 kB suffices for 100
+#: groups and keeps a hostile mark from filling tables keyed by it.
 MAX_MARK_CHARACTERS = 4096
 
-#: Longest time a mark may name, one day in milliseconds: a deadline or
-#: an age beyond it is a slip of units.
+#: Maximum duration in a mark, one day in milliseconds. A longer deadline
+#: or age is assumed to be in the wrong unit.
 MAX_MARK_MS = 86_400_000
 
 _COMMENT = re_compile(r"\s*/\*\s*redwing:(.*?)\*/", DOTALL)
@@ -47,14 +47,14 @@
 def read_marks(
     sql: str, attributes: Mapping[str, str]
 ) -> Result[MarkedStatement, Refusal]:
-    """Split a statement into its marks and what the target is to see.
+    """Split a statement into its marks and the SQL for the target.
 
     Parameters
     ----------
     sql : str
         The statement as the caller sent it.
     attributes : mapping
-        Query attributes; they go before the comment's marks.
+        Query attributes; they override the marks in the comment.
 
     Returns
     -------
@@ -94,10 +94,10 @@
 
 def _read_value(name: str, text: object) -> Result[object, Refusal]:
     if name not in Marks._fields:
-        return Error(_unknown(name))
+        return Error(_unknown_mark(name))
     text = "" if text is None else str(text)
     if len(text) > MAX_MARK_CHARACTERS:
-        return _bad(f"mark {name!r} is longer than {MAX_MARK_CHARACTERS}")
+        return _bad_mark(f"mark {name!r} is longer than {MAX_MARK_CHARACTERS}")
     if name in _FLAGS:
         return _read_flag(name, text)
     if name in _NUMBERS:
@@ -110,22 +110,22 @@
         return Ok(True)
     if text.lower() in _FALSE_WORDS:
         return Ok(False)
-    return _bad(f"mark {name!r} takes true or false")
+    return _bad_mark(f"mark {name!r} takes true or false")
 
 
 def _read_number(name: str, text: str) -> Result[int, Refusal]:
     if not (text.isascii() and text.isdigit()) or len(text) > 9:
-        return _bad(f"mark {name!r} takes whole milliseconds")
+        return _bad_mark(f"mark {name!r} takes whole milliseconds")
     if int(text) > MAX_MARK_MS:
-        return _bad(f"mark {name!r} is longer than a day")
+        return _bad_mark(f"mark {name!r} is longer than a day")
     return Ok(int(text))
 
 
-def _bad(detail: str) -> Result:
+def _bad_mark(detail: str) -> Result:
     return Error(Refusal(Code.BAD_MARK, detail))
 
 
-def _unknown(name: str) -> Refusal:
+def _unknown_mark(name: str) -> Refusal:
     shown = name[:40]
     near = get_close_matches(shown, Marks._fields, 1)
     hint = f"; did you mean {near[0]!r}?" if near else ""
--- a/redwingpost/core/registry.py
+++ b/redwingpost/core/registry.py
@@ -1,4 +1,4 @@
-"""Registries that decorators fill: how behaviour that varies is chosen."""
+"""Registries of named implementations, filled by decorators."""
 
 from collections.abc import Callable, Iterator
 from typing import Generic, TypeVar
@@ -12,7 +12,7 @@
     Parameters
     ----------
     kind : str
-        What the entries are, for error messages.
+        Name of the kind of entry, used in error messages.
 
     Examples
     --------
@@ -31,12 +31,13 @@
         self._entries_by_name: dict[str, T] = {}
 
     def register(self, name: str) -> Callable[[T], T]:
-        """Return a decorator that files its object under ``name``.
+        """Return a decorator that registers its object under ``name``.
 
         Raises
         ------
         ValueError
-            If the name is taken: two modules would shadow each other.
+            If the name is already registered: one of two modules would
+            replace the other's entry without notice.
         """
 
         def add(entry: T) -> T:
@@ -53,7 +54,7 @@
         Raises
         ------
         KeyError
-            If there is none; the message lists the known names.
+            If there is none; the message lists the registered names.
         """
         if name not in self._entries_by_name:
             known = ", ".join(self.names())
--- a/redwingpost/core/requests.py
+++ b/redwingpost/core/requests.py
@@ -1,4 +1,4 @@
-"""A caller's request as the decision modules see it."""
+"""Requests of callers, in the form that the decision modules use."""
 
 from typing import NamedTuple
 
@@ -12,7 +12,7 @@
 
 
 class Marks(NamedTuple):
-    """Per-request marks: query attributes or the leading comment.
+    """Marks of a request, from query attributes or the leading comment.
 
     ``max_staleness_ms`` and ``deadline_ms`` are milliseconds, relative
     to the arrival of the request; zero stands for unset.
@@ -28,11 +28,12 @@
 
 
 class Request(NamedTuple):
-    """One statement with everything a decision may ask of it.
+    """One statement with all data that decisions depend on.
 
-    Times are seconds on the clock of the process that holds it.
-    ``after`` is the position a read must follow; None means that nothing
-    is known of the session, so that only the primary can tell.
+    Times are seconds on the clock of the process that handles it.
+    ``after`` is the position that a read must reach. None means that
+    nothing is known about the session, so the read must go to the
+    primary.
     """
 
     request: int
@@ -49,16 +50,16 @@
 
 
 class MemberError(NamedTuple):
-    """A member's own MySQL error, passed on to the caller as it is."""
+    """A MySQL error of a member, passed to the caller unchanged."""
 
     number: int
     message: str
 
 
 class Refusal(NamedTuple):
-    """Why a request was not served; the error side of a Result.
+    """Reason why a request was not served; the error value of a Result.
 
-    ``retry_after_ms`` is zero where coming back does not help.
+    ``retry_after_ms`` is zero if a later retry doesn't help.
     """
 
     code: ResultCode
--- a/redwingpost/core/statements.py
+++ b/redwingpost/core/statements.py
@@ -1,8 +1,8 @@
-"""Typed statements: what a caller asks, whatever protocol it speaks.
+"""Typed statements, independent of the caller's protocol.
 
-Each caller protocol sorts its texts into these types at its boundary.
-Behind it nobody reads a statement's text: it travels opaque to a member,
-and decisions go by the kind alone.
+Each caller protocol classifies its statements into these types at its
+boundary. No other code parses a statement's text: it is passed unchanged
+to a member, and decisions depend on the kind alone.
 """
 
 from enum import Enum
@@ -10,10 +10,11 @@
 
 
 class StatementKind(Enum):
-    """What a statement does, as far as routing and retries care.
+    """Kind of a statement, as routing and retries distinguish them.
 
-    ``SESSION`` stands for statements about the session that the MySQL
-    side answers or sends as they are; ``REFUSED`` for what isn't carried.
+    ``SESSION`` is a statement about the session that the MySQL protocol
+    layer answers itself or forwards unchanged. ``REFUSED`` is a
+    statement that isn't supported.
     """
 
     BEGIN = "begin"
@@ -31,7 +32,7 @@
 
 
 class Shape(NamedTuple):
-    """What a prepared statement runs; equal shapes are interchangeable."""
+    """Content of a prepared statement; equal ones are interchangeable."""
 
     writes: bool
     text: str
@@ -40,10 +41,10 @@
 class Statement(NamedTuple):
     """One statement of a caller.
 
-    ``text`` is what the caller sent, for the member. ``name`` is that of
-    a session value or a prepared statement; ``argument`` is the value,
-    or what a prepared statement is executed with. ``shape`` is set for
-    PREPARE only.
+    ``text`` is the caller's text, which is sent to the member. ``name``
+    names a session value or a prepared statement; ``argument`` is the
+    value, or the argument of the prepared statement. ``shape`` is set
+    for PREPARE only.
     """
 
     request: str
@@ -57,8 +58,8 @@
 class Answer(NamedTuple):
     """A successful answer.
 
-    ``proof`` is the member's own word that it ran the statement; empty
-    where the proxy answered.
+    ``proof`` is the member's confirmation that it ran the statement;
+    empty if the proxy answered.
     """
 
     rows: tuple[str, ...] = ()
--- a/redwingpost/core/tests/fuzzing.py
+++ b/redwingpost/core/tests/fuzzing.py
@@ -1,4 +1,4 @@
-"""How inputs of strangers are fuzzed: the same inputs in every run."""
+"""Settings and strategies for fuzz tests of untrusted input."""
 
 from hypothesis import HealthCheck, settings
 from hypothesis.strategies import (
@@ -15,10 +15,11 @@
 
 
 def fuzz(inputs: int):
-    """Return Hypothesis settings for so many inputs.
+    """Return Hypothesis settings that generate ``inputs`` examples.
 
-    Derandomized and without a database, so that CI sees what we see; no
-    deadline, since the machines differ.
+    Derandomized and without a database, so that every run, also in CI,
+    uses the same inputs. No deadline, since test environments differ in
+    speed.
     """
     return settings(
         max_examples=inputs,
@@ -29,7 +30,7 @@
     )
 
 
-#: Any JSON value, with keys that the formats know mixed in elsewhere.
+#: Any JSON value. Tests add the keys that their format defines.
 JSON_VALUES = recursive(
     none()
     | booleans()
--- a/redwingpost/core/tests/test_core.py
+++ b/redwingpost/core/tests/test_core.py
@@ -1,4 +1,4 @@
-"""Tests of the shared vocabulary."""
+"""Tests of result codes, registries and positions."""
 
 from unittest import TestCase
 
@@ -9,7 +9,7 @@
     Position,
     Refusal,
     Registry,
-    lost_by,
+    is_dropped,
 )
 
 
@@ -47,7 +47,7 @@
             registry.get("b")
 
 
-class LostByTest(TestCase):
+class IsDroppedTest(TestCase):
     def test_table(self):
         history = (Position(1, 1), Position(3, 10), Position(4, 12))
         table = [
@@ -61,4 +61,4 @@
         ]
         for position, lost in table:
             with self.subTest(position=position):
-                self.assertEqual(lost_by(position, history), lost)
+                self.assertEqual(is_dropped(position, history), lost)
--- a/redwingpost/core/tests/test_fuzz_marks.py
+++ b/redwingpost/core/tests/test_fuzz_marks.py
@@ -1,4 +1,4 @@
-"""Marks from strangers: a result or a numbered refusal, nothing else."""
+"""Fuzz tests of marks: each input gives a result or a numbered refusal."""
 
 from unittest import TestCase
 
--- a/redwingpost/core/topology.py
+++ b/redwingpost/core/topology.py
@@ -1,4 +1,4 @@
-"""Who is where: VMs of the system, members of database groups."""
+"""Addresses of VMs and members, and views of database groups."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class VmAddress(NamedTuple):
-    """One entry VM: its name, data centre, IP and the ports it serves."""
+    """One entry VM: its name, data centre, IP address and ports."""
 
     vm: str
     data_centre: str
@@ -17,7 +17,7 @@
 
 
 class MemberAddress(NamedTuple):
-    """One member of a database group, as the configuration names it."""
+    """One member of a database group, from the configuration."""
 
     member: str
     group: str
@@ -27,11 +27,11 @@
 
 
 class GroupView(NamedTuple):
-    """What is known of a group's primary: the highest term wins.
+    """The known primary of a group; the view with the highest term wins.
 
     ``primary`` is empty while a promotion runs. ``history`` holds the
-    first position of every term, so that a session's position can be
-    checked against a tail that a promotion dropped.
+    first position of every term, to check whether a promotion dropped a
+    session's position.
     """
 
     group: str
--- a/redwingpost/promotion/dropped_positions.py
+++ b/redwingpost/promotion/dropped_positions.py
@@ -12,7 +12,7 @@
 
 from typing import NamedTuple
 
-from redwingpost.core import History, Position, lost_by
+from redwingpost.core import History, Position, is_dropped
 
 
 class Continuation(NamedTuple):
@@ -45,7 +45,7 @@
     >>> continue_from(Position(1, 7), history).lost
     False
     """
-    if not lost_by(position, history):
+    if not is_dropped(position, history):
         return Continuation(position, False)
     return Continuation(_dropped_at(position, history), True)
 
--- a/redwingpost/promotion/resolution.py
+++ b/redwingpost/promotion/resolution.py
@@ -17,7 +17,7 @@
 
 from enum import Enum
 
-from redwingpost.core import History, Position, lost_by
+from redwingpost.core import History, Position, is_dropped
 
 
 class WriteOutcome(Enum):
@@ -57,6 +57,6 @@
         return WriteOutcome.UNDECIDED
     if confirmed < history[-1]:
         return WriteOutcome.UNDECIDED
-    if lost_by(position, history):
+    if is_dropped(position, history):
         return WriteOutcome.DROPPED
     return WriteOutcome.SURVIVED
--- a/redwingpost/proxy/reads.py
+++ b/redwingpost/proxy/reads.py
@@ -14,7 +14,7 @@
     Refusal,
     Request,
     ZERO_POSITION,
-    lost_by,
+    is_dropped,
 )
 from redwingpost.ports import (
     Clock,
@@ -208,7 +208,7 @@
 
 
 def _is_lost(request: Request, history: History) -> bool:
-    return bool(request.after) and lost_by(request.after, history)
+    return bool(request.after) and is_dropped(request.after, history)
 
 
 def _is_final(outcome: ReadAnswer | Failed) -> bool:
