--- a/redwingpost/node/tests/test_failures.py
+++ b/redwingpost/node/tests/test_failures.py
@@ -178,7 +178,7 @@
         self.assertEqual("", (await caller.run("READ a")).code)
         members = tuple(self.site.outside.server_by_member)
         for member in members:
-            self.site.outside.lapse(member)
+            self.site.outside.remove_entry(member)
         told = await self._read_for(caller, LAPSED_S)
         for member in members:
             self.site.outside.register(member)
@@ -261,7 +261,7 @@
                 self.assertNotIn(item, kept, "refused, but kept")
 
     async def _darken_primary(self) -> None:
-        self.site.outside.find("g1-m1").is_dark = True
+        self.site.outside.find("g1-m1").is_unresponsive = True
 
     async def _announce_leave(self) -> None:
         self.site.outside.register("g1-m1", state="draining")
--- a/redwingpost/node/tests/test_walks.py
+++ b/redwingpost/node/tests/test_walks.py
@@ -116,7 +116,7 @@
         primary.lose_answers = 1000
         told = await caller.run_as("doubt-1", "WRITE b 1")
         self.assertEqual("INDOUBT", told.code)
-        primary.is_dark = True
+        primary.is_unresponsive = True
         await until(
             lambda: self.site.outside.primary_of("g1") != "g1-m1",
             "another primary",
--- a/redwingpost/platform/tests/test_decoding.py
+++ b/redwingpost/platform/tests/test_decoding.py
@@ -156,7 +156,7 @@
         changes = (await self.store.changes("t", snapshot.version, 5.0)).ok
         told = [(item.row.key, item.is_removed) for item in changes.changes]
         self.assertEqual([("b", False), ("a", True)], told)
-        self.outside.rows.forget_history()
+        self.outside.rows.clear_history()
         lost = (await self.store.changes("t", snapshot.version, 5.0)).ok
         self.assertTrue(lost.history_lost)
 
--- a/redwingpost/standin/lines/group.py
+++ b/redwingpost/standin/lines/group.py
@@ -1,23 +1,30 @@
-"""A replicated group by the platform's rules: terms, logs, pauses."""
+"""State of a replicated group: terms, logs, pauses, promotions."""
 
 from asyncio import Event, wait_for
 from typing import NamedTuple
 
 from redwingpost.core.positions import ZERO_POSITION, Position
 
-#: Seconds that a primary waits for a replica before it fails a commit.
-SYNC_WAIT_S = 5.0
+#: Seconds that a primary waits for a replica before its commit fails.
+SYNC_TIMEOUT_S = 5.0
 
 
 class LogEntry(NamedTuple):
-    """One commit."""
+    """A committed transaction: its position and the items it wrote."""
 
     position: Position
     writes: dict[str, str]
 
 
 class LineMember:
-    """One member's state, and what is wrong with it."""
+    """State of one member and the faults that a test has set.
+
+    ``runs`` lists the executed statements as (request, statement). The
+    next ``lose_answers`` answers are not sent. An unresponsive member
+    answers nothing and takes no part in replication; one that is cut off
+    answers, but does not replicate; one that lags does not apply the
+    entries that it receives.
+    """
 
     def __init__(self, name: str, is_primary: bool) -> None:
         self.name = name
@@ -26,7 +33,7 @@
         self.log: list[LogEntry] = []
         self.applied = 0
         self.paused_for = 0
-        self.is_dark = False
+        self.is_unresponsive = False
         self.is_cut_off = False
         self.lags = False
         self.lose_answers = 0
@@ -34,18 +41,18 @@
 
     @property
     def head(self) -> Position:
-        """Return the last position received."""
+        """Return the position of the last received entry."""
         return self.log[-1].position if self.log else ZERO_POSITION
 
     @property
     def applied_head(self) -> Position:
-        """Return the last position that reads see."""
+        """Return the position of the last applied entry."""
         if not self.applied:
             return ZERO_POSITION
         return self.log[self.applied - 1].position
 
     def holds(self, position: Position) -> bool:
-        """Say whether reads see a position of this very log."""
+        """Return whether the entry at a position is in the log and applied."""
         if position == ZERO_POSITION:
             return True
         return any(
@@ -53,16 +60,20 @@
         )
 
     def read(self, item: str) -> str | None:
-        """Return an item as reads see it."""
+        """Return the last applied value of an item, or None."""
         for entry in reversed(self.log[: self.applied]):
             if item in entry.writes:
                 return entry.writes[item]
         return None
 
     def receive(self, entry: LogEntry) -> bool:
-        """Take an entry from a primary, unless paused or cut off."""
+        """Append an entry from a primary; return whether it was accepted.
+
+        A member refuses it while it is unresponsive, cut off or paused
+        for a higher term, and if it knows a higher term.
+        """
         term = entry.position.term
-        if self.is_dark or self.is_cut_off or self.paused_for > term:
+        if self.is_unresponsive or self.is_cut_off or self.paused_for > term:
             return False
         if self.term > term:
             return False
@@ -72,20 +83,20 @@
         return True
 
     def catch_up(self) -> None:
-        """Apply what was received, unless the member lags."""
+        """Apply all received entries, unless the member lags."""
         if not self.lags:
             self.applied = len(self.log)
 
 
 class LineGroup:
-    """Members of one group.
+    """The members of one group and the commits they have acknowledged.
 
     Parameters
     ----------
     name : str
-        Of the group.
+        Name of the group.
     members : tuple of str
-        Their names; the first is the primary.
+        Names of the members; the first is the primary.
     """
 
     def __init__(self, name: str, members: tuple[str, ...]) -> None:
@@ -100,7 +111,26 @@
         self._changed = Event()
 
     async def commit(self, member: LineMember, writes: dict) -> bool:
-        """Commit at a primary; False where it has lost the lead."""
+        """Commit at a member; wait until a replica has received the entry.
+
+        Parameters
+        ----------
+        member : LineMember
+            The member that commits.
+        writes : dict
+            Written values by item.
+
+        Returns
+        -------
+        bool
+            False if the member is not the primary, or stops being the
+            primary of its term while it waits.
+
+        Raises
+        ------
+        TimeoutError
+            If no replica receives the entry in time.
+        """
         if not member.is_primary:
             return False
         term = member.term
@@ -110,14 +140,17 @@
         while member.is_primary and member.term == term:
             if self._replicate(member, entry):
                 break
-            await wait_for(self._changed.wait(), SYNC_WAIT_S)
+            await wait_for(self._changed.wait(), SYNC_TIMEOUT_S)
         else:
             return False
         self.acknowledged.append(entry)
         return True
 
     def promote(self, name: str) -> None:
-        """Make a member lead the next term with what it has."""
+        """Make a member the primary of a new term with its current log.
+
+        Acknowledged entries that its log lacks are recorded in ``lost``.
+        """
         chosen = self.member_by_name[name]
         if chosen.is_primary:
             return
@@ -136,8 +169,8 @@
         self.wake()
 
     def follow(self, member: LineMember, leader: LineMember) -> None:
-        """Let a member take over a leader's log."""
-        if member.is_dark or member.is_cut_off:
+        """Make a member a replica of ``leader`` with a copy of its log."""
+        if member.is_unresponsive or member.is_cut_off:
             return
         member.is_primary = False
         member.term = leader.term
@@ -147,7 +180,7 @@
         member.catch_up()
 
     def step_down(self, member: LineMember, term: int) -> None:
-        """Make a primary of a lower term a replica."""
+        """Make a primary of a term below ``term`` a replica."""
         if member.is_primary and member.term < term:
             leader = self.newest_primary()
             member.is_primary = False
@@ -156,17 +189,17 @@
         self.wake()
 
     def newest_primary(self) -> LineMember | None:
-        """Return the primary of the highest term."""
+        """Return the primary of the highest term, or None."""
         leading = [m for m in self.member_by_name.values() if m.is_primary]
         return max(leading, key=lambda m: m.term, default=None)
 
     def wake(self) -> None:
-        """Let waiting commits look again."""
+        """Wake waiting commits so that they try to replicate again."""
         self._changed.set()
         self._changed = Event()
 
     def _replicate(self, primary: LineMember, entry: LogEntry) -> bool:
-        if primary.is_dark or primary.is_cut_off:
+        if primary.is_unresponsive or primary.is_cut_off:
             return False
         received = False
         for member in self.member_by_name.values():
--- a/redwingpost/standin/lines/member_server.py
+++ b/redwingpost/standin/lines/member_server.py
@@ -1,4 +1,4 @@
-"""A member over TCP: the members' side of the line protocol."""
+"""TCP server of a group member: its side of the line protocol."""
 
 from asyncio import (
     CancelledError,
@@ -15,20 +15,23 @@
 from redwingpost.core.positions import Position
 from redwingpost.standin.lines.group import LineGroup, LineMember
 
-#: Connections and slots of a member.
+#: Limits of a member: open connections, and statements run at a time.
 MAX_CONNECTIONS = 32
 SLOTS = 5
 
-#: Seconds that a read, a write or a commit works.
-WORK_S = 0.002
+#: Seconds that a read, a write or a commit holds a slot.
+STATEMENT_TIME_S = 0.002
 
 
-class _Refusal(Exception):
-    """A code to answer with."""
+class _ErrorReply(Exception):
+    """An error that is sent as an ``ERROR`` line: code and text."""
 
 
 class MemberServer:
-    """Serves one member of a group."""
+    """Serves one member of a group to callers over TCP.
+
+    ``organisations`` lists the organisation that each connection named.
+    """
 
     def __init__(self, group: LineGroup, member: LineMember) -> None:
         self.group = group
@@ -40,19 +43,19 @@
         self._writers: set[StreamWriter] = set()
 
     async def start(self, ip: str) -> int:
-        """Listen; return the port."""
+        """Start to listen on a free port and return the port."""
         self._server = await start_server(self._serve, ip, 0)
         return self._server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Stop listening and cut all connections."""
+        """Stop listening and close all connections."""
         self._server.close()
         for writer in tuple(self._writers):
             writer.close()
 
-    async def rest_while_dark(self) -> None:
-        """Say nothing while the member is dark."""
-        while self.member.is_dark:
+    async def wait_while_unresponsive(self) -> None:
+        """Wait until the member is responsive."""
+        while self.member.is_unresponsive:
             await sleep(0.02)
 
     async def _serve(self, reader: StreamReader, writer: StreamWriter) -> None:
@@ -61,8 +64,9 @@
         try:
             await _Connection(self, reader, writer).run()
         except (IncompleteReadError, OSError, CancelledError):
-            # The caller left, or the stand-in ends: what was open rolls
-            # back. A cancelled task would be reported as a failure.
+            # The caller disconnected or the stand-in stops; an open
+            # transaction is rolled back. Cancellation is caught as well:
+            # a cancelled task would be reported as a failure.
             pass
         finally:
             self.connections -= 1
@@ -71,6 +75,12 @@
 
 
 class _Connection:
+    """One caller's connection.
+
+    ``_state`` is the transaction state sent with ``READY``: ``I`` idle,
+    ``T`` in a transaction, ``E`` in a failed transaction.
+    """
+
     def __init__(
         self, server: MemberServer, reader: StreamReader, writer: StreamWriter
     ) -> None:
@@ -84,9 +94,9 @@
         self._shapes: dict[str, str] = {}
 
     async def run(self) -> None:
-        """Serve the connection until it ends."""
+        """Check the startup line, then answer queries until the end."""
         word, service, organisation, *expected = (await self._line()).split()
-        await self._server.rest_while_dark()
+        await self._server.wait_while_unresponsive()
         wrong = service != self._server.group.name or (
             expected and expected[0] != self._member.name
         )
@@ -107,13 +117,13 @@
             await self._answer(request, text)
 
     async def _answer(self, request: str, text: str) -> None:
-        await self._server.rest_while_dark()
+        await self._server.wait_while_unresponsive()
         try:
             rows, proof = await self._execute(request, text)
             lines = [f"DATAROW {row}" for row in rows]
             lines.append(f"COMPLETE {proof}")
-        except _Refusal as refusal:
-            lines = [f"ERROR {refusal}"]
+        except _ErrorReply as reply:
+            lines = [f"ERROR {reply}"]
             if self._state == "T":
                 self._state = "E"
         if self._member.lose_answers > 0 and request != "-":
@@ -129,48 +139,48 @@
             after = Position(int(term), int(index))
         word, _, rest = text.partition(" ")
         if self._state == "E" and word != "ROLLBACK":
-            raise _Refusal("MALFORMED failed")
+            raise _ErrorReply("MALFORMED failed")
         if after is not None and not self._member.holds(after):
-            raise _Refusal("LAGGING behind")
+            raise _ErrorReply("LAGGING behind")
         handler = getattr(self, f"_do_{word.lower()}", None)
         if handler is None:
-            raise _Refusal("MALFORMED unknown")
+            raise _ErrorReply("MALFORMED unknown")
         return await handler(request, rest)
 
     async def _do_read(self, request: str, item: str) -> tuple[list, str]:
-        await self._work(request, f"READ {item}")
+        await self._spend_statement_time(request, f"READ {item}")
         value = self._writes.get(item) or self._member.read(item)
-        return [value or "-"], self._proof(request)
+        return [value or "-"], self._execution_proof(request)
 
     async def _do_write(self, request: str, rest: str) -> tuple[list, str]:
         if not self._member.is_primary:
-            raise _Refusal(f"READONLY {self._member.name}")
-        await self._work(request, f"WRITE {rest}")
+            raise _ErrorReply(f"READONLY {self._member.name}")
+        await self._spend_statement_time(request, f"WRITE {rest}")
         item, _, data = rest.partition(" ")
         if self._state == "T":
             self._writes[item] = data
         elif not await self._server.group.commit(self._member, {item: data}):
-            raise _Refusal(f"READONLY {self._member.name}")
-        return [], self._proof(request)
+            raise _ErrorReply(f"READONLY {self._member.name}")
+        return [], self._execution_proof(request)
 
     async def _do_begin(self, request: str, rest: str) -> tuple[list, str]:
         if not rest and not self._member.is_primary:
-            raise _Refusal(f"READONLY {self._member.name}")
+            raise _ErrorReply(f"READONLY {self._member.name}")
         self._state = "T"
         self._writes = {}
         return [], "-"
 
     async def _do_commit(self, request: str, rest: str) -> tuple[list, str]:
-        await self._work(request, "COMMIT")
+        await self._spend_statement_time(request, "COMMIT")
         writes, self._writes = self._writes, {}
         self._state = "I"
         if writes and not self._member.is_primary:
-            raise _Refusal(f"READONLY {self._member.name}")
+            raise _ErrorReply(f"READONLY {self._member.name}")
         if writes and not await self._server.group.commit(
             self._member, writes
         ):
-            raise _Refusal(f"READONLY {self._member.name}")
-        return [], self._proof(request)
+            raise _ErrorReply(f"READONLY {self._member.name}")
+        return [], self._execution_proof(request)
 
     async def _do_rollback(self, request: str, rest: str) -> tuple[list, str]:
         self._writes = {}
@@ -188,7 +198,7 @@
     async def _do_execute(self, request: str, rest: str) -> tuple[list, str]:
         name, _, argument = rest.partition(" ")
         if name not in self._shapes:
-            raise _Refusal(f"NOSTMT {name}")
+            raise _ErrorReply(f"NOSTMT {name}")
         if self._shapes[name].startswith("WRITE"):
             return await self._do_write(request, argument)
         return await self._do_read(request, argument)
@@ -222,12 +232,12 @@
         self._server.group.step_down(self._member, int(rest))
         return await self._do_status(request, "")
 
-    async def _work(self, request: str, text: str) -> None:
+    async def _spend_statement_time(self, request: str, text: str) -> None:
         async with self._server.slots:
-            await sleep(WORK_S)
+            await sleep(STATEMENT_TIME_S)
         self._member.runs.append((request, text))
 
-    def _proof(self, request: str) -> str:
+    def _execution_proof(self, request: str) -> str:
         text = f"{self._member.name} {request}".encode()
         return f"1.{blake2b(text, digest_size=8).hexdigest()}"
 
--- a/redwingpost/standin/lines/rows.py
+++ b/redwingpost/standin/lines/rows.py
@@ -1,14 +1,14 @@
-"""The rows of the platform's store: versions, conditions, history."""
+"""Rows of the platform's store, with versions and a change history."""
 
 from collections import deque
 from typing import Any, NamedTuple
 
-#: Changes that the feed remembers.
-HISTORY = 1000
+#: Number of changes that the feed can return.
+MAX_HISTORY_CHANGES = 1000
 
 
 class StoredRow(NamedTuple):
-    """A row; ``value`` is base64 as it came."""
+    """A row; ``value`` is the base64 text that was received."""
 
     table: str
     part: str
@@ -18,14 +18,16 @@
 
 
 class Change(NamedTuple):
-    """A row that was put, or removed."""
+    """A row that was put or removed."""
 
     row: StoredRow
     removed: bool
 
 
 class Rows:
-    """All rows, with a counter that grows with each transaction.
+    """All rows and a version counter, increased by each transaction.
+
+    A row is identified by its table, part and key.
 
     Examples
     --------
@@ -40,17 +42,20 @@
 
     def __init__(self) -> None:
         self.ver = 0
-        self._row_by_place: dict[tuple[str, str, str], StoredRow] = {}
-        self._history: deque[Change] = deque(maxlen=HISTORY)
-        self._forgotten_ver = 0
+        self._rows_by_id: dict[tuple[str, str, str], StoredRow] = {}
+        self._history: deque[Change] = deque(maxlen=MAX_HISTORY_CHANGES)
+        self._cleared_ver = 0
 
     def mismatches(
         self, expected: list[tuple[str, str, str, int]]
     ) -> list[StoredRow]:
-        """Return the rows whose version isn't the expected one."""
+        """Return the rows whose version differs from the expected one.
+
+        A missing row has version 0.
+        """
         wrong = []
         for table, part, key, ver in expected:
-            row = self._row_by_place.get((table, part, key))
+            row = self._rows_by_id.get((table, part, key))
             if (row.ver if row else 0) != ver:
                 wrong.append(row or StoredRow(table, part, key, "", 0))
         return wrong
@@ -61,28 +66,35 @@
         puts: list[tuple[str, str, str, str]],
         deletes: list[tuple[str, str, str]],
     ) -> int | None:
-        """Apply a transaction; None where a condition fails."""
+        """Apply a transaction and return its version.
+
+        Returns None and changes nothing if a row's version differs from
+        the expected one.
+        """
         if self.mismatches(expected):
             return None
         self.ver += 1
         for table, part, key, value in puts:
             row = StoredRow(table, part, key, value, self.ver)
-            self._row_by_place[(table, part, key)] = row
+            self._rows_by_id[(table, part, key)] = row
             self._history.append(Change(row, removed=False))
-        for place in deletes:
-            if self._row_by_place.pop(place, None) is not None:
-                row = StoredRow(*place, "", self.ver)
+        for row_id in deletes:
+            if self._rows_by_id.pop(row_id, None) is not None:
+                row = StoredRow(*row_id, "", self.ver)
                 self._history.append(Change(row, removed=True))
         return self.ver
 
     def of_table(self, table: str) -> list[StoredRow]:
-        """Return a table's rows by key."""
-        found = [r for r in self._row_by_place.values() if r.table == table]
+        """Return a table's rows in key order."""
+        found = [r for r in self._rows_by_id.values() if r.table == table]
         return sorted(found, key=lambda row: row.key)
 
     def since(self, table: str, ver: int) -> list[Change] | None:
-        """Return what changed after a version; None if forgotten."""
-        if ver < self._forgotten_ver:
+        """Return a table's changes after a version.
+
+        Returns None if the history was cleared after that version.
+        """
+        if ver < self._cleared_ver:
             return None
         return [
             change
@@ -90,12 +102,12 @@
             if change.row.table == table and change.row.ver > ver
         ]
 
-    def forget_history(self) -> None:
-        """Forget what changed until now."""
+    def clear_history(self) -> None:
+        """Discard all changes up to the current version."""
         self._history.clear()
-        self._forgotten_ver = self.ver
+        self._cleared_ver = self.ver
 
 
-def place_of(item: dict[str, Any]) -> tuple[str, str, str]:
-    """Return where a row of a request is."""
+def row_id_of(item: dict[str, Any]) -> tuple[str, str, str]:
+    """Return the table, part and key of a row in a request."""
     return item["table"], item.get("part", ""), item["key"]
--- a/redwingpost/standin/lines/site.py
+++ b/redwingpost/standin/lines/site.py
@@ -1,4 +1,4 @@
-"""A whole site of stand-ins in one process: store, groups, promotions."""
+"""A complete platform in one process: store, groups and promotions."""
 
 from asyncio import create_task, sleep
 from time import time
@@ -17,12 +17,12 @@
 from redwingpost.standin.lines.member_server import MemberServer
 from redwingpost.standin.lines.store import StandInStore
 
-#: Seconds from an order to its effect.
-PROMOTE_S = 0.2
+#: Seconds from a promotion order to the promotion.
+PROMOTION_DELAY_S = 0.2
 
 
 class Order:
-    """A promotion order as it came."""
+    """A received promotion order."""
 
     def __init__(self, group: str, member: str, holder: str, fence: int):
         self.group = group
@@ -32,7 +32,10 @@
 
 
 class LineSite:
-    """Store, groups of three members, and the promotion calls."""
+    """The store, groups of three members, and the promotion API.
+
+    ``orders`` lists the received promotion orders.
+    """
 
     def __init__(self, ip: str = "127.0.0.1") -> None:
         self.ip = ip
@@ -46,7 +49,7 @@
         self._entry_by_member: dict[str, dict[str, Any]] = {}
 
     async def start(self, groups: tuple[str, ...]) -> None:
-        """Start everything and register the members."""
+        """Start the servers and register the members in the store."""
         self.store_port = await self.store.start(self.ip)
         app = Application()
         app.add_routes([post("/promote", self._promote)])
@@ -58,25 +61,25 @@
             await self._start_group(name)
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop all servers."""
         for server in self.server_by_member.values():
             await server.stop()
         await self._runner.cleanup()
         await self.store.stop()
 
     def configure(self, value: dict[str, Any]) -> None:
-        """Write a configuration as the operator does."""
+        """Write the configuration row, as the operator does."""
         self.store.put("op", "config", value)
 
     def register(self, member: str, **changes: Any) -> None:
-        """Write a member's entry, with changes."""
+        """Write a member's entry to the store, with changed fields."""
         entry = self._entry_by_member[member]
         entry.update(changes)
         entry["seq"] += 1
         self.store.put("servers", member, entry)
 
-    def lapse(self, member: str) -> None:
-        """Drop a member's entry, as after heartbeats that didn't come."""
+    def remove_entry(self, member: str) -> None:
+        """Remove a member's entry, as if its heartbeats had stopped."""
         self.store.remove("servers", member)
 
     def find(self, member: str) -> LineMember:
@@ -84,7 +87,7 @@
         return self.server_by_member[member].member
 
     def primary_of(self, group: str) -> str:
-        """Return the newest primary; the last one while none leads."""
+        """Return the name of the member that was promoted last."""
         return self.group_by_name[group].last_primary.name
 
     async def _start_group(self, name: str) -> None:
@@ -115,16 +118,16 @@
         holder = request.headers["X-Redwingpost-Duty-Holder"]
         order = Order(body["service"], body["id"], holder, fence)
         self.orders.append(order)
-        if self.find(order.member).is_dark:
+        if self.find(order.member).is_unresponsive:
             return Response(status=409)
         create_task(self._take_effect(order))
         return Response(status=200)
 
     async def _take_effect(self, order: Order) -> None:
-        await sleep(PROMOTE_S)
+        await sleep(PROMOTION_DELAY_S)
         group = self.group_by_name[order.group]
         group.promote(order.member)
         for name, member in group.member_by_name.items():
-            if not member.is_dark:
+            if not member.is_unresponsive:
                 role = "primary" if member.is_primary else "replica"
                 self.register(name, dbRole=role)
--- a/redwingpost/standin/lines/store.py
+++ b/redwingpost/standin/lines/store.py
@@ -1,4 +1,4 @@
-"""The platform's store over HTTP, with its faults."""
+"""HTTP server of the platform's store, with faults."""
 
 from asyncio import Event, sleep, wait_for
 from base64 import b64encode
@@ -18,11 +18,15 @@
 )
 from msgspec.json import encode
 
-from redwingpost.standin.lines.rows import Rows, place_of
+from redwingpost.standin.lines.rows import Rows, row_id_of
 
 
 class StoreFaults:
-    """What the store does wrong just now."""
+    """The faults that are active.
+
+    ``lose_answers`` is the number of coming transactions that are applied
+    without an answer; requests from ``refused_ips`` are answered with 503.
+    """
 
     def __init__(self) -> None:
         self.is_down = False
@@ -32,7 +36,7 @@
 
 
 class StandInStore:
-    """Rows, feed and objects; ``faults`` may be changed at any time."""
+    """Rows, feed and objects; tests set ``faults`` at any time."""
 
     def __init__(self) -> None:
         self.rows = Rows()
@@ -42,7 +46,7 @@
         self._runner: AppRunner | None = None
 
     async def start(self, ip: str, port: int = 0) -> int:
-        """Listen; return the port."""
+        """Start to listen and return the port."""
         app = Application()
         app.add_routes(
             [
@@ -64,7 +68,7 @@
         await self._runner.cleanup()
 
     def put(self, table: str, key: str, value: Any) -> None:
-        """Write a row as the operator or a member does."""
+        """Write a row, as the operator or a member does."""
         text = b64encode(encode(value)).decode()
         self.rows.apply([], [(table, "", key, text)], [])
         self._wake()
@@ -88,10 +92,10 @@
         if any(item["table"] in ("op", "servers") for item in body["putRows"]):
             return Response(status=403)
         expected = [
-            (*place_of(item), item["ver"]) for item in body["expectedRev"]
+            (*row_id_of(item), item["ver"]) for item in body["expectedRev"]
         ]
-        puts = [(*place_of(item), item["value"]) for item in body["putRows"]]
-        deletes = [place_of(item) for item in body["deleteRows"]]
+        puts = [(*row_id_of(item), item["value"]) for item in body["putRows"]]
+        deletes = [row_id_of(item) for item in body["deleteRows"]]
         ver = self.rows.apply(expected, puts, deletes)
         if ver is None:
             wrong = [row._asdict() for row in self.rows.mismatches(expected)]
