--- a/redwingpost/standin/control.py
+++ b/redwingpost/standin/control.py
@@ -1,6 +1,6 @@
 """Control statements of the target port, ``REDWING …``.
 
-``docs/design/target-port.md`` says what each stands for.
+``docs/design/target-port.md`` specifies each of them.
 """
 
 from collections.abc import Awaitable, Callable
@@ -28,7 +28,7 @@
     Raises
     ------
     MemberError
-        If it isn't one that a member knows.
+        If the text is a control statement with an unknown name.
     """
     match = _CONTROL.match(text)
     if match is None:
@@ -36,21 +36,24 @@
     name = " ".join(match.group(1).upper().split())
     if name not in CONTROLS.names():
         raise MemberError(SYNTAX, f"no control statement {name!r}")
-    return _checked(CONTROLS.get(name), name), match.group(2).split()
+    return (
+        _report_bad_arguments(CONTROLS.get(name), name),
+        match.group(2).split(),
+    )
 
 
-def _checked(control: Control, name: str) -> Control:
+def _report_bad_arguments(control: Control, name: str) -> Control:
     async def run(session: Any, *arguments: str):
         try:
             return await control(session, *arguments)
-        except (TypeError, ValueError) as broken:
-            message = f"REDWING {name}: {broken}"
-            raise MemberError(SYNTAX, message) from broken
+        except (TypeError, ValueError) as error:
+            message = f"REDWING {name}: {error}"
+            raise MemberError(SYNTAX, message) from error
 
     return run
 
 
-def _answer(**values: Any) -> ResultSet:
+def _single_row(**values: Any) -> ResultSet:
     columns = [
         ResultColumn(
             name,
@@ -67,12 +70,12 @@
 
 @CONTROLS.register("STATUS")
 async def status(session: Any) -> ResultSet:
-    """Say what the member is and holds."""
+    """Return the member's role, promised term, positions and history."""
     member = session.member
     received = member.replica.log.head
     applied = member.replica.applied_position
     history = ",".join(str(first) for first in member.replica.log.history)
-    return _answer(
+    return _single_row(
         member=member.name,
         role="primary" if member.book.is_primary else "replica",
         promised_term=member.book.promise.term,
@@ -90,14 +93,14 @@
 async def position(session: Any) -> ResultSet:
     """Return the position of this connection's last commit."""
     last = session.transaction.last_commit
-    return _answer(term=last.term, index=last.index)
+    return _single_row(term=last.term, index=last.index)
 
 
 @CONTROLS.register("WAIT RECEIVED")
 async def wait_received(
     session: Any, term: str, index: str, timeout_ms: str
 ) -> ResultSet:
-    """Wait until the relay log holds a position."""
+    """Wait until the relay log contains a position."""
     member = session.member
     ok = await member.wait_position(
         int(term),
@@ -105,7 +108,7 @@
         lambda: member.replica.log.holds(int(term), int(index)),
     )
     head = member.replica.log.head
-    return _answer(
+    return _single_row(
         ok=int(ok),
         promised_term=member.book.promise.term,
         received_term=head.term,
@@ -117,7 +120,7 @@
 async def wait_applied(
     session: Any, term: str, index: str, timeout_ms: str
 ) -> ResultSet:
-    """Wait until a read here sees a position."""
+    """Wait until this member has applied a position."""
     member = session.member
 
     def holds() -> bool:
@@ -126,7 +129,7 @@
 
     ok = await member.wait_position(int(term), float(timeout_ms) / 1000, holds)
     applied = member.replica.applied_position
-    return _answer(
+    return _single_row(
         ok=int(ok),
         promised_term=member.book.promise.term,
         applied_term=applied.term,
@@ -136,12 +139,12 @@
 
 @CONTROLS.register("CLAIM")
 async def claim(session: Any, term: str, claimant: str) -> ResultSet:
-    """Promise a term; a primary of a lower one is fenced at once."""
+    """Promise a term; fence the member if it leads a lower one."""
     member = session.member
     ok = member.claim(int(term), claimant)
     received = member.replica.log.head
     applied = member.replica.applied_position
-    return _answer(
+    return _single_row(
         ok=int(ok),
         promised_term=member.book.promise.term,
         claimant=member.book.promise.claimant,
@@ -154,37 +157,37 @@
 
 @CONTROLS.register("PROMOTE")
 async def promote(session: Any, term: str, claimant: str) -> ResultSet:
-    """Apply the relay log, then lead the claimed term."""
+    """Apply the relay log, then become the primary of a claimed term."""
     member = session.member
     ok = await member.promote(int(term), claimant)
     head = member.replica.log.head
-    return _answer(ok=int(ok), term=head.term, index=head.index)
+    return _single_row(ok=int(ok), term=head.term, index=head.index)
 
 
 @CONTROLS.register("FOLLOW")
 async def follow(
     session: Any, term: str, primary: str, ip: str, port: str
 ) -> ResultSet:
-    """Take another member's log from now on."""
+    """Start to replicate from another member."""
     member = session.member
     ok = member.follow(int(term), primary, ip, int(port))
-    return _answer(ok=int(ok), promised_term=member.book.promise.term)
+    return _single_row(ok=int(ok), promised_term=member.book.promise.term)
 
 
 @CONTROLS.register("DIVERGED")
 async def diverged(session: Any) -> ResultSet:
-    """Return the transactions that were set aside."""
+    """Return the statements that were undone as diverged."""
     names = (
         ("term", ColumnType.LONGLONG),
         ("index", ColumnType.LONGLONG),
         ("statement", ColumnType.VAR_STRING),
     )
     columns = [ResultColumn(name, kind) for name, kind in names]
-    rows = [tuple(aside) for aside in session.member.replica.set_aside]
+    rows = [tuple(statement) for statement in session.member.replica.set_aside]
     return ResultSet(rows, columns)
 
 
 @CONTROLS.register("RESET")
 async def reset(session: Any) -> None:
-    """Make the connection as new."""
+    """Reset the session's state to that of a new connection."""
     session.clear()
--- a/redwingpost/standin/faults.py
+++ b/redwingpost/standin/faults.py
@@ -1,4 +1,4 @@
-"""Fault orders over HTTP: ``POST /faults {"fault": NAME, …}``."""
+"""HTTP port for faults: ``POST /faults {"fault": NAME, …}``."""
 
 from collections.abc import Awaitable, Callable
 from inspect import getdoc, signature
@@ -30,7 +30,7 @@
 
 
 def describe_faults(registry: Registry[Fault]) -> list[dict[str, str]]:
-    """Return each fault's name, arguments and first line of its doc."""
+    """Return each fault's name, arguments and first docstring line."""
     return [
         {
             "fault": name,
@@ -47,13 +47,13 @@
     Parameters
     ----------
     registry : Registry
-        The faults that this stand-in knows.
+        The faults that this stand-in supports.
     standin : object
         Passed to each fault as its first argument.
     endpoint : Endpoint
-        Where to listen.
+        Address to listen on.
     link_faults : bool
-        Whether rules for links are taken too, at ``/faults/links``.
+        Whether link faults can be set too, at ``/faults/links``.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
         self.address = (endpoint.ip, endpoint.port)
 
     async def start(self) -> None:
-        """Listen for orders."""
+        """Start to listen."""
         application = Application()
         application.router.add_get("/faults", self._list)
         application.router.add_post("/faults", self._order)
@@ -100,7 +100,7 @@
             order = _DECODER.decode(await request.read())
             fault = self._registry.get(str(order.pop("fault", "")))
             answer = await fault(self._standin, **order)
-        except (DecodeError, KeyError, TypeError, ValueError) as broken:
-            return json_response({"error": str(broken)}, status=400)
+        except (DecodeError, KeyError, TypeError, ValueError) as error:
+            return json_response({"error": str(error)}, status=400)
         body = _ENCODER.encode(answer or {})
         return Response(body=body, content_type="application/json")
--- a/redwingpost/standin/limits.py
+++ b/redwingpost/standin/limits.py
@@ -1,4 +1,4 @@
-"""A member's limits on the loop: statement slots and the writer lock."""
+"""A member's concurrency limits: statement slots and the writer lock."""
 
 from asyncio import (
     CancelledError,
@@ -10,12 +10,12 @@
 
 
 class FifoLimiter:
-    """A counted resource whose waiters are served in order of arrival.
+    """A semaphore whose waiters are served in order of arrival.
 
     Parameters
     ----------
     size : int
-        How many may hold it at a time.
+        How many tasks may hold it at a time.
     """
 
     def __init__(self, size: int) -> None:
@@ -25,51 +25,51 @@
 
     @property
     def waiting(self) -> int:
-        """How many wait."""
+        """Number of waiting tasks."""
         return len(self._waiters)
 
     async def acquire(self) -> None:
-        """Take one, after everyone who came before."""
+        """Acquire a unit, after all tasks that waited before."""
         if self.held < self.size and not self._waiters:
             self.held += 1
             return
-        turn = get_running_loop().create_future()
-        self._waiters.append(turn)
+        waiter = get_running_loop().create_future()
+        self._waiters.append(waiter)
         try:
-            await turn
+            await waiter
         except CancelledError:
-            # A waiter that is cancelled after its turn came would keep
-            # what it never used, and the member would lose a slot for
-            # good: hand it on.
-            if turn.done() and not turn.cancelled():
+            # A waiter that is cancelled after it was served holds a unit
+            # that nobody would release, and the member would lose a slot
+            # for ever: pass it on.
+            if waiter.done() and not waiter.cancelled():
                 self.release()
-            elif turn in self._waiters:
-                self._waiters.remove(turn)
+            elif waiter in self._waiters:
+                self._waiters.remove(waiter)
             raise
 
     def release(self) -> None:
-        """Give one back and wake the next waiter."""
+        """Release a unit, to the next waiter if there is one."""
         while self._waiters:
-            turn = self._waiters.popleft()
-            if not turn.done():
-                turn.set_result(None)
+            waiter = self._waiters.popleft()
+            if not waiter.done():
+                waiter.set_result(None)
                 return
         self.held -= 1
 
 
 class WriterLock:
-    """One writing transaction at a time, held by its session."""
+    """A lock that allows one writing transaction at a time."""
 
     def __init__(self) -> None:
         self._limiter = FifoLimiter(1)
 
     @property
     def waiting(self) -> int:
-        """How many sessions wait for it."""
+        """Number of sessions that wait for the lock."""
         return self._limiter.waiting
 
     async def acquire(self, timeout: float) -> bool:
-        """Take the lock; False if that took longer than ``timeout`` s."""
+        """Acquire the lock; return False after ``timeout`` s."""
         limiter = self._limiter
         if limiter.held == 0:
             await limiter.acquire()
@@ -82,5 +82,5 @@
         return True
 
     def release(self) -> None:
-        """Give the lock to the next session that waits."""
+        """Release the lock, to the next waiting session if any."""
         self._limiter.release()
--- a/redwingpost/standin/platform.py
+++ b/redwingpost/standin/platform.py
@@ -1,7 +1,8 @@
 """The platform: table service, objects and VM list over HTTP/JSON.
 
 ``docs/design/platform-port.md`` lists the routes. State is kept in
-memory: to the system the platform is what lasts, and it is not restarted.
+memory only: the system under test relies on the platform for durable
+data, so tests never restart it.
 """
 
 from asyncio import Event, get_running_loop, sleep
@@ -27,11 +28,11 @@
 from redwingpost.standin.tables import StoredRow, Tables
 from redwingpost.standin.vm_list import LaggingVmList
 
-#: Largest request body taken, bytes; configurations of the size that the
-#: fleet is to reach stay well below it.
-MAX_BODY = 64 * 1024 * 1024
+#: Largest accepted request body, bytes. The configurations of the largest
+#: planned fleet are well below it.
+MAX_BODY_BYTES = 64 * 1024 * 1024
 
-#: Rows that a scan returns where the caller states no limit.
+#: Rows that a scan returns if the request has no limit.
 SCAN_LIMIT = 1000
 
 
@@ -47,7 +48,13 @@
 
 
 def _parse(body: bytes) -> _Transaction:
-    """Read a transaction; KeyError or DecodeError where it is malformed."""
+    """Return the transaction of a request body.
+
+    Raises
+    ------
+    DecodeError, ValidationError, KeyError, TypeError, ValueError
+        If the body is malformed.
+    """
     given = _REQUESTS.decode(body)
     conditions = [
         (str(c["table"]), str(c["key"]), int(c["version"]))
@@ -79,10 +86,14 @@
 class PlatformStandin(Service):
     """The platform in one process.
 
+    ``lost_answers`` is the number of coming writes that are applied
+    without an answer; only requests whose path or body contains
+    ``lost_answers_match`` count.
+
     Parameters
     ----------
     settings : PlatformSettings
-        Limits, lag and the first list of VMs.
+        Rate limits, lag of the VM list, and its first VMs.
     """
 
     def __init__(self, settings: PlatformSettings) -> None:
@@ -91,43 +102,43 @@
         self.tables = Tables()
         self.objects_by_key: dict[str, bytes] = {}
         self.vms = LaggingVmList(settings.vms, settings.list_lag_s)
-        self.writes = RateLimit(settings.writes_per_s)
-        self.reads = RateLimit(settings.reads_per_s)
+        self.write_limit = RateLimit(settings.writes_per_s)
+        self.read_limit = RateLimit(settings.reads_per_s)
         self.outage = ""
         self.slow_s = 0.0
         self.lost_answers = 0
         self.lost_answers_match = ""
         self.requests_by_kind: dict[str, int] = {}
         self.address = (settings.listen.ip, settings.listen.port)
-        self._over = Event()
+        self._outage_over = Event()
         self._runner: AppRunner | None = None
         self._faults = FaultServer(PLATFORM_FAULTS, self, settings.faults)
 
     @property
     def fault_address(self) -> tuple[str, int]:
-        """Where fault orders are taken."""
+        """Address of the fault port."""
         return self._faults.address
 
     @property
     def url(self) -> str:
-        """The address as the settings of a VM name it."""
+        """URL under which the settings of a VM name the platform."""
         return f"http://{self.address[0]}:{self.address[1]}"
 
     def now(self) -> float:
-        """Return the platform's own time, seconds."""
+        """Return the time of the event loop's clock, seconds."""
         return get_running_loop().time()
 
     def set_outage(self, kind: str) -> None:
-        """Begin (``refuse`` or ``hang``) or end (empty) an outage."""
+        """Start (``refuse`` or ``hang``) or end (empty) an outage."""
         self.outage = kind
         if not kind:
-            self._over.set()
-            self._over = Event()
+            self._outage_over.set()
+            self._outage_over = Event()
 
     async def on_start(self) -> None:
-        """Listen to the system and to fault orders."""
+        """Open the HTTP port and the fault port."""
         application = Application(
-            middlewares=[self._under_faults], client_max_size=MAX_BODY
+            middlewares=[self._apply_faults], client_max_size=MAX_BODY_BYTES
         )
         add = application.router.add_route
         add("GET", "/v1/tables/{table}/{key:.+}", self._read)
@@ -151,25 +162,25 @@
             await self._runner.cleanup()
 
     @middleware
-    async def _under_faults(self, request: Request, handler) -> Response:
-        """Apply the outage, the slowness and the limits around a route."""
+    async def _apply_faults(self, request: Request, handler) -> Response:
+        """Apply outage, delay, rate limits and answer loss to a route."""
         is_write = request.method != "GET"
         kind = "writes" if is_write else "reads"
         self.requests_by_kind[kind] = self.requests_by_kind.get(kind, 0) + 1
         if self.slow_s:
             await sleep(self.slow_s)
         if self.outage == "hang":
-            await self._over.wait()
+            await self._outage_over.wait()
             return Response(status=503)
         if self.outage:
             return Response(status=503)
-        limit = self.writes if is_write else self.reads
+        limit = self.write_limit if is_write else self.read_limit
         if not limit.take(self.now()):
             return Response(status=429)
         answer = await handler(request)
         if self._loses_answer(request, answer):
-            # The write stands; only its answer is lost, as when a
-            # connection breaks on the way back.
+            # The write is applied and only its answer is lost, as when
+            # the connection breaks before the answer arrives.
             request.transport.abort()
         return answer
 
@@ -208,16 +219,16 @@
 
     async def _transact(self, request: Request) -> Response:
         try:
-            asked = _parse(await request.read())
+            transaction = _parse(await request.read())
         except (
             DecodeError,
             ValidationError,
             KeyError,
             TypeError,
             ValueError,
-        ) as broken:
-            return _json({"error": f"malformed: {broken}"}, 400)
-        versions, conflicts = self.tables.transact(*asked)
+        ) as error:
+            return _json({"error": f"malformed: {error}"}, 400)
+        versions, conflicts = self.tables.transact(*transaction)
         if not conflicts:
             return _json({"versions": versions})
         rows = [
@@ -237,5 +248,5 @@
         return Response(body=body)
 
     async def _list_vms(self, request: Request) -> Response:
-        seen = self.vms.seen(self.now())
-        return _json({"vms": [vm._asdict() for vm in seen]})
+        vms = self.vms.visible_at(self.now())
+        return _json({"vms": [vm._asdict() for vm in vms]})
--- a/redwingpost/standin/platform_faults.py
+++ b/redwingpost/standin/platform_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the platform, and orders that change its list of VMs."""
+"""Faults of the platform, and commands that change its list of VMs."""
 
 from typing import Any
 
@@ -13,7 +13,7 @@
 
 @PLATFORM_FAULTS.register("outage")
 async def outage(platform: Any, kind: str = "refuse") -> None:
-    """Answer nothing (``hang``) or 503 (``refuse``) until ``recover``."""
+    """Answer 503 (``refuse``) or nothing (``hang``) until ``recover``."""
     if kind not in _OUTAGES:
         raise ValueError(f"kind must be one of {', '.join(_OUTAGES)}")
     platform.set_outage(kind)
@@ -21,27 +21,27 @@
 
 @PLATFORM_FAULTS.register("recover")
 async def recover(platform: Any) -> None:
-    """End an outage and slowness."""
+    """End an outage and the delay set by ``slow``."""
     platform.set_outage("")
     platform.slow_s = 0.0
 
 
 @PLATFORM_FAULTS.register("slow")
 async def slow(platform: Any, ms: float) -> None:
-    """Let every request take ``ms`` longer."""
+    """Delay every request by ``ms``."""
     platform.slow_s = float(ms) / 1000
 
 
 @PLATFORM_FAULTS.register("lose-answer")
 async def lose_answer(platform: Any, count: int = 1, match: str = "") -> None:
-    """Apply the next ``count`` writes but drop the connection."""
+    """Apply the next ``count`` writes, but abort instead of answering."""
     platform.lost_answers = int(count)
     platform.lost_answers_match = match
 
 
 @PLATFORM_FAULTS.register("list-lag")
 async def list_lag(platform: Any, seconds: float) -> None:
-    """Show the list of VMs ``seconds`` late."""
+    """Show changes of the list of VMs ``seconds`` late."""
     platform.vms.lag_s = float(seconds)
 
 
@@ -54,14 +54,14 @@
     agent_port: int,
     proxy_port: int,
 ) -> None:
-    """Put a VM on the list."""
+    """Add a VM to the list or replace its entry."""
     entry = VmSettings(vm, data_centre, ip, agent_port, proxy_port)
     platform.vms.put(entry, platform.now())
 
 
 @PLATFORM_FAULTS.register("vm-remove")
 async def vm_remove(platform: Any, vm: str) -> None:
-    """Take a VM off the list."""
+    """Remove a VM from the list."""
     platform.vms.remove(vm, platform.now())
 
 
@@ -82,5 +82,5 @@
 
 @PLATFORM_FAULTS.register("requests")
 async def requests(platform: Any) -> dict[str, Any]:
-    """Return how many reads and writes have come in."""
+    """Return the number of received reads and writes."""
     return dict(platform.requests_by_kind)
--- a/redwingpost/standin/rate_limit.py
+++ b/redwingpost/standin/rate_limit.py
@@ -1,13 +1,13 @@
-"""How many requests a second the platform takes."""
+"""The platform's limit on requests per second."""
 
 
 class RateLimit:
-    """A token bucket holding one second's worth; time is passed in.
+    """A token bucket that holds the tokens of one second.
 
     Parameters
     ----------
     per_s : float
-        Requests per second; 0 refuses all.
+        Requests per second; 0 refuses all requests.
 
     Examples
     --------
@@ -25,7 +25,7 @@
         self._started = False
 
     def take(self, now: float) -> bool:
-        """Take one request's token; False where none is left."""
+        """Take a token at time ``now`` (s); return False if none is left."""
         if not self._started:
             self._started = True
             self._filled_at = now
--- a/redwingpost/standin/session.py
+++ b/redwingpost/standin/session.py
@@ -244,7 +244,7 @@
             return
         match = _INSERTED.search(sql)
         table = match.group(1).strip("`") if match else ""
-        if self.member.store.counts_up(table, self.transaction.store):
+        if self.member.store.has_auto_increment(table, self.transaction.store):
             self.last_insert_id = cursor.lastrowid - cursor.rowcount + 1
         else:
             self.last_insert_id = 0
--- a/redwingpost/standin/settings.py
+++ b/redwingpost/standin/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the stand-ins: TOML, checked, with the defaults' grounds."""
+"""Settings of the stand-ins, read from TOML and checked."""
 
 from difflib import get_close_matches
 from pathlib import Path
@@ -11,7 +11,7 @@
 
 
 class Endpoint(NamedTuple):
-    """An address to listen on; port 0 takes a free one."""
+    """An address to listen on; port 0 selects a free port."""
 
     ip: str
     port: int = 0
@@ -21,10 +21,10 @@
 class GroupSettings(NamedTuple):
     """Settings of one database group's members.
 
-    The defaults are the sites' sizes of today: 5 slots, 32 connections,
-    12 ms for a new connection. Times are milliseconds. ``write_ms`` is
-    what a commit costs, ``step_ms`` what a write inside an open
-    transaction costs.
+    The default limits are those of today's installations: 5 slots, 32
+    connections, 12 ms for a new connection. Times are milliseconds.
+    ``write_ms`` is the duration of a commit, ``step_ms`` that of a write
+    inside an open transaction.
     """
 
     group: str
@@ -45,12 +45,12 @@
 
     @property
     def first_primary(self) -> str:
-        """The member that leads term 1."""
+        """The member that is the primary of term 1."""
         return self.primary or next(iter(self.members))
 
 
 class VmSettings(NamedTuple):
-    """One VM of the platform's list."""
+    """A VM in the platform's list."""
 
     vm: str
     data_centre: str
@@ -61,10 +61,10 @@
 
 
 class PlatformSettings(NamedTuple):
-    """Settings of the platform: the store's limits, the list's lag.
+    """Settings of the platform: rate limits and lag of the VM list.
 
-    The limits are per second, as the platform gives them: several
-    hundred writes and about two thousand reads.
+    The default limits follow the real platform, which accepts several
+    hundred writes and about two thousand reads per second.
     """
 
     listen: Endpoint = Endpoint("127.0.0.1")
@@ -78,22 +78,28 @@
 _Fields = dict[str, Any]
 
 
-class _Broken(Exception):
-    """A rule that a settings file breaks."""
+class _InvalidSettings(Exception):
+    """A settings file breaks a rule; the message says which."""
 
 
-def _build(kind: type, given: Any, place: str) -> Any:
-    """Return ``kind`` from a TOML table; names unknown keys."""
+def _build(kind: type, given: Any, location: str) -> Any:
+    """Return a settings tuple of type ``kind`` from a TOML table.
+
+    Raises
+    ------
+    _InvalidSettings
+        If a key is unknown or missing, or a value has the wrong type.
+    """
     if not isinstance(given, dict):
-        raise _Broken(f"{place}: a table is wanted")
+        raise _InvalidSettings(f"{location}: must be a table")
     known = kind._fields
     for key in given:
         if key not in known:
             near = get_close_matches(key, known, 1)
             hint = f"; did you mean {near[0]!r}?" if near else ""
             allowed = ", ".join(known)
-            raise _Broken(
-                f"{place}: unknown key {key!r}{hint} (allowed: {allowed})"
+            raise _InvalidSettings(
+                f"{location}: unknown key {key!r}{hint} (allowed: {allowed})"
             )
     missing = [
         name
@@ -101,27 +107,31 @@
         if name not in given and name not in kind._field_defaults
     ]
     if missing:
-        raise _Broken(f"{place}: {missing[0]!r} is missing")
+        raise _InvalidSettings(f"{location}: {missing[0]!r} is missing")
     for name, value in given.items():
-        _check(kind, name, value, place)
+        _check(kind, name, value, location)
     return kind(**given)
 
 
-def _check(kind: type, name: str, value: Any, place: str) -> None:
+def _check(kind: type, name: str, value: Any, location: str) -> None:
     wanted = kind.__annotations__[name]
     if wanted is float and isinstance(value, int):
         return
     if wanted in (str, int, float, bool) and type(value) is not wanted:
-        raise _Broken(f"{place}: {name!r} must be of type {wanted.__name__}")
+        raise _InvalidSettings(
+            f"{location}: {name!r} must be of type {wanted.__name__}"
+        )
     if wanted in (int, float) and value < 0:
-        raise _Broken(f"{place}: {name!r} must not be negative")
+        raise _InvalidSettings(f"{location}: {name!r} must not be negative")
 
 
 def _group(given: _Fields) -> GroupSettings:
     fields = dict(given)
     members = fields.get("members", {})
     if not isinstance(members, dict) or not members:
-        raise _Broken("members: at least one member is wanted")
+        raise _InvalidSettings(
+            "members: must be a table with at least one member"
+        )
     fields["members"] = {
         name: _build(Endpoint, member, f"members.{name}")
         for name, member in members.items()
@@ -130,7 +140,7 @@
         fields["faults"] = _build(Endpoint, fields["faults"], "faults")
     settings = _build(GroupSettings, fields, "group settings")
     if settings.first_primary not in settings.members:
-        raise _Broken(f"primary: no member {settings.primary!r}")
+        raise _InvalidSettings(f"primary: no member {settings.primary!r}")
     return settings
 
 
@@ -141,9 +151,10 @@
             fields[name] = _build(Endpoint, fields[name], name)
     vms = fields.get("vms", [])
     if not isinstance(vms, list):
-        raise _Broken("vms: an array of tables is wanted")
+        raise _InvalidSettings("vms: must be an array of tables")
     fields["vms"] = tuple(
-        _build(VmSettings, vm, f"vms[{place}]") for place, vm in enumerate(vms)
+        _build(VmSettings, vm, f"vms[{location}]")
+        for location, vm in enumerate(vms)
     )
     return _build(PlatformSettings, fields, "platform settings")
 
@@ -151,8 +162,8 @@
 def _parse(text: str, source: str, build) -> Result[Any, Refusal]:
     try:
         return Ok(build(loads(text)))
-    except (_Broken, TOMLDecodeError) as broken:
-        return Error(Refusal(Code.SETTINGS_INVALID, f"{source}: {broken}"))
+    except (_InvalidSettings, TOMLDecodeError) as error:
+        return Error(Refusal(Code.SETTINGS_INVALID, f"{source}: {error}"))
 
 
 def parse_group(text: str, source: str = "") -> Result[GroupSettings, Refusal]:
@@ -163,12 +174,12 @@
     text : str
         TOML.
     source : str
-        File name, for messages.
+        File name for messages.
 
     Returns
     -------
     Result of GroupSettings, Refusal
-        The refusal names the file, the key and what is allowed.
+        The refusal names the file, the key and the allowed values.
 
     Examples
     --------
@@ -186,9 +197,9 @@
 
 
 def read_settings(path: Path, parse) -> Result[Any, Refusal]:
-    """Read a settings file with one of the parsers above."""
+    """Read a settings file with `parse_group` or `parse_platform`."""
     try:
         text = path.read_text(encoding="utf-8")
-    except (OSError, UnicodeDecodeError) as broken:
-        return Error(Refusal(Code.SETTINGS_INVALID, f"{path}: {broken}"))
+    except (OSError, UnicodeDecodeError) as error:
+        return Error(Refusal(Code.SETTINGS_INVALID, f"{path}: {error}"))
     return parse(text, str(path))
--- a/redwingpost/standin/signals.py
+++ b/redwingpost/standin/signals.py
@@ -1,29 +1,33 @@
-"""A wake-up call for every waiter on the loop."""
+"""A signal that wakes all tasks that wait for a change."""
 
 from asyncio import Future, get_running_loop, wait
 
 
 class Signal:
-    """Wakes all that wait whenever something changed."""
+    """Wakes all waiting tasks at each notification.
+
+    Unlike an ``Event`` it has no state: a task waits for the next
+    notification.
+    """
 
     def __init__(self) -> None:
         self._waiters: set[Future] = set()
 
     def notify(self) -> None:
-        """Wake every waiter; each looks for itself."""
+        """Wake every waiter; each checks its own condition."""
         waiters, self._waiters = self._waiters, set()
         for waiter in waiters:
             if not waiter.done():
                 waiter.set_result(None)
 
     async def wait(self, timeout: float | None = None) -> bool:
-        """Wait for the next call; False when ``timeout`` s are over."""
+        """Wait for the next notification; False after ``timeout`` s."""
         waiter = get_running_loop().create_future()
         self._waiters.add(waiter)
         try:
             # Not wait_for: up to Python 3.11 it swallows a cancellation
-            # that comes together with the result, and a task that was
-            # told to end would go on for ever.
+            # that arrives together with the result, and a cancelled task
+            # would never end.
             done, _ = await wait((waiter,), timeout=timeout)
         finally:
             self._waiters.discard(waiter)
--- a/redwingpost/standin/store.py
+++ b/redwingpost/standin/store.py
@@ -1,6 +1,6 @@
 """A member's data: one SQLite file in WAL mode.
 
-Every MySQL connection has an SQLite connection of its own, so reads see
+Each MySQL connection has its own SQLite connection, so that its reads see
 a snapshot while another transaction writes.
 """
 
@@ -12,8 +12,8 @@
 from redwingpost.standin.functions import install_functions
 from redwingpost.standin.replication_log import LogEntry
 
-#: Bytes 18 and 19 of an SQLite file name its journal mode; an image in
-#: memory can't be in WAL mode and would not open.
+#: Bytes 18 and 19 of an SQLite file hold its journal mode. A database in
+#: memory can't use WAL mode: an image that says WAL would not open.
 _JOURNAL_BYTES = slice(18, 20)
 
 
@@ -23,13 +23,13 @@
     Parameters
     ----------
     path : Path
-        The database file; made on first use.
+        The database file; created if it is missing.
     """
 
     def __init__(self, path: Path) -> None:
         self.path = path
         self._types_by_shape: dict[str, tuple[Declared | None, ...]] = {}
-        self._counts_up_by_table: dict[str, bool] = {}
+        self._auto_increment_by_table: dict[str, bool] = {}
         self._writer = self.connect()
         self._catalogue = self.connect()
 
@@ -48,24 +48,24 @@
         return connection
 
     def apply(self, entry: LogEntry) -> None:
-        """Run a transaction of the replication log."""
+        """Apply a transaction of the replication log."""
         writer = self._writer
         writer.execute("BEGIN IMMEDIATE")
         for statement in entry.statements:
             writer.execute(statement.sql, statement.parameters)
-            self.note_definition(statement.sql)
+            self.invalidate_on_definition(statement.sql)
         writer.execute("COMMIT")
 
-    def note_definition(self, sql: str) -> None:
-        """Forget what was known of shapes if ``sql`` alters a table."""
+    def invalidate_on_definition(self, sql: str) -> None:
+        """Clear the cached column types if ``sql`` changes a table."""
         if sql[:5].upper() in ("CREAT", "DROP ", "ALTER"):
-            self._forget_shapes()
+            self._clear_caches()
 
     def declared_types(self, shape: str) -> tuple[Declared | None, ...]:
-        """Return the declared type of each column that a SELECT yields.
+        """Return the declared type of each column of a SELECT's result.
 
-        SQLite resolves it: a view over the SELECT shows its columns'
-        types. None stands for an expression.
+        The types are read from a temporary view over the SELECT. The type
+        of an expression is None.
         """
         if shape in self._types_by_shape:
             return self._types_by_shape[shape]
@@ -92,38 +92,38 @@
         finally:
             catalogue.execute("DROP VIEW shape_view")
 
-    def counts_up(self, table: str, connection: Connection) -> bool:
-        """Say whether a table numbers its rows by AUTO_INCREMENT."""
-        if table not in self._counts_up_by_table:
+    def has_auto_increment(self, table: str, connection: Connection) -> bool:
+        """Return whether a table has an AUTO_INCREMENT column."""
+        if table not in self._auto_increment_by_table:
             row = connection.execute(
                 "SELECT sql FROM sqlite_master WHERE name = ?", (table,)
             ).fetchone()
             found = row is not None and "AUTOINCREMENT" in row[0]
-            self._counts_up_by_table[table] = found
-        return self._counts_up_by_table[table]
+            self._auto_increment_by_table[table] = found
+        return self._auto_increment_by_table[table]
 
-    def _forget_shapes(self) -> None:
+    def _clear_caches(self) -> None:
         self._types_by_shape.clear()
-        self._counts_up_by_table.clear()
+        self._auto_increment_by_table.clear()
 
     def snapshot(self) -> bytes:
-        """Return an image of the committed data."""
+        """Return the committed data as an SQLite database image."""
         image = bytearray(self._catalogue.serialize())
         image[_JOURNAL_BYTES] = b"\x01\x01"
         return bytes(image)
 
     def restore(self, image: bytes) -> None:
-        """Replace the data by an image's, in one transaction."""
+        """Replace the data by those of an image, in one transaction."""
         source = connect(":memory:")
         try:
             source.deserialize(image)
             source.backup(self._writer)
         finally:
             source.close()
-        self._forget_shapes()
+        self._clear_caches()
 
     def dump(self) -> dict[str, dict[str, Any]]:
-        """Return every table's columns and rows, for a test's oracle."""
+        """Return every table's columns and rows, for a test oracle."""
         names = [
             row[0]
             for row in self._catalogue.execute(
--- a/redwingpost/standin/tables.py
+++ b/redwingpost/standin/tables.py
@@ -1,6 +1,6 @@
 """The platform's table service: rows and conditional transactions.
 
-Pure state: the HTTP server in ``platform`` asks it.
+The state is kept without I/O; ``platform`` serves it over HTTP.
 """
 
 from typing import Any, NamedTuple
@@ -11,14 +11,14 @@
 
 
 class StoredRow(NamedTuple):
-    """A row as the service keeps it."""
+    """A stored row: its version and value."""
 
     version: int
     value: dict[str, Any]
 
 
 class Conflict(NamedTuple):
-    """A condition that didn't hold, and the row as it stands."""
+    """A failed condition and the current row, None if absent."""
 
     table: str
     key: str
@@ -28,8 +28,8 @@
 class Tables:
     """Rows by (table, key), in key order.
 
-    A row's version grows with each write and goes on growing when the
-    row is deleted and made anew, so a version never names two contents.
+    A row's version grows with each write, also across a deletion and a
+    new creation, so that a version never stands for two contents.
 
     Examples
     --------
@@ -51,18 +51,18 @@
     def scan(
         self, table: str, prefix: str, after: str, limit: int
     ) -> list[tuple[str, StoredRow]]:
-        """Return rows whose key starts with ``prefix``, beyond ``after``."""
+        """Return rows whose key starts with ``prefix`` and is > ``after``."""
         found = []
         start = (table, max(prefix, after))
-        for place in self._rows_by_key.irange(start):
-            found_table, key = place
+        for row_key in self._rows_by_key.irange(start):
+            found_table, key = row_key
             if found_table != table or len(found) >= limit:
                 break
             if key == after or not key.startswith(prefix):
                 if key > prefix and not key.startswith(prefix):
                     break
                 continue
-            found.append((key, self._rows_by_key[place]))
+            found.append((key, self._rows_by_key[row_key]))
         return found
 
     def transact(
@@ -70,7 +70,10 @@
         conditions: list[tuple[str, str, int]],
         writes: list[tuple[str, str, dict[str, Any] | None]],
     ) -> tuple[list[int], list[Conflict]]:
-        """Apply all writes if all conditions hold, else none."""
+        """Apply all writes if all conditions hold, else none.
+
+        Returns the new versions and the conflicts; one of them is empty.
+        """
         conflicts = []
         for table, key, version in conditions:
             row = self.read(table, key)
@@ -83,17 +86,17 @@
     def _write(
         self, table: str, key: str, value: dict[str, Any] | None
     ) -> int:
-        place = (table, key)
-        version = self._last_versions_by_key.get(place, 0) + 1
-        self._last_versions_by_key[place] = version
+        row_key = (table, key)
+        version = self._last_versions_by_key.get(row_key, 0) + 1
+        self._last_versions_by_key[row_key] = version
         if value is None:
-            self._rows_by_key.pop(place, None)
+            self._rows_by_key.pop(row_key, None)
         else:
-            self._rows_by_key[place] = StoredRow(version, value)
+            self._rows_by_key[row_key] = StoredRow(version, value)
         return version
 
     def dump(self) -> list[dict[str, Any]]:
-        """Return every row, for a test's oracle."""
+        """Return every row, for a test oracle."""
         return [
             {
                 "table": table,
--- a/redwingpost/standin/tests/test_platform.py
+++ b/redwingpost/standin/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's stand-in, asked over HTTP."""
+"""Tests of the platform stand-in over HTTP."""
 
 from unittest import IsolatedAsyncioTestCase
 
@@ -97,7 +97,7 @@
         self.assertEqual((await self.get("/v1/vms"))[0], 200)
 
     async def test_lost_answer_took_effect(self):
-        """The store applies a write, but its answer never arrives."""
+        """The platform applies a write, but its answer never arrives."""
         await self.order("lose-answer", match="marked")
         write = {"table": "t", "key": "marked", "value": {}}
         other = {"table": "t", "key": "plain", "value": {}}
@@ -109,7 +109,7 @@
 
 class LimitsTest(IsolatedAsyncioTestCase):
     async def test_too_many_requests(self):
-        """Past its limits the platform answers 429 and does nothing."""
+        """Above its rate limits the platform answers 429 and does nothing."""
         settings = PlatformSettings(writes_per_s=1.0, reads_per_s=0.0)
         platform = PlatformStandin(settings)
         await platform.start()
--- a/redwingpost/standin/transactions.py
+++ b/redwingpost/standin/transactions.py
@@ -96,7 +96,7 @@
         entry = LogEntry(self.member.book.primary_term, statements)
         self.last_commit = self.member.replica.commit(entry)
         for statement in statements:
-            self.member.store.note_definition(statement.sql)
+            self.member.store.invalidate_on_definition(statement.sql)
         return True
 
     def rollback(self) -> None:
