--- a/redwingpost/agent/tests/test_promoter.py
+++ b/redwingpost/agent/tests/test_promoter.py
@@ -86,15 +86,15 @@
 
     def leaders(self):
         return [
-            (member.name[-1], member.book.primary_term)
+            (member.name[-1], member.term_state.primary_term)
             for member in self.group.members_by_name.values()
-            if member.is_alive and member.book.is_primary
+            if member.is_alive and member.term_state.is_primary
         ]
 
     async def settle(self, letter):
         """Wait until a member follows whoever leads."""
         for _ in range(600):
-            if self.member(letter).book.is_following:
+            if self.member(letter).term_state.is_following:
                 return
             await sleep(0.05)
         raise AssertionError(f"{letter} follows nobody")
--- a/redwingpost/bench/tests/differential.py
+++ b/redwingpost/bench/tests/differential.py
@@ -23,10 +23,10 @@
     The test plays the agents' part with the members' own control calls.
     """
     members = list(site.group.members_by_name.values())
-    (old,) = [member for member in members if member.book.is_primary]
+    (old,) = [member for member in members if member.term_state.is_primary]
     others = [member for member in members if member is not old]
     await old.die()
-    term = max(member.book.promise.term for member in members) + 1
+    term = max(member.term_state.promise.term for member in members) + 1
     for member in others:
         member.claim(term, "test")
     new = max(others, key=lambda member: len(member.replica.log))
--- a/redwingpost/standin/connection.py
+++ b/redwingpost/standin/connection.py
@@ -108,7 +108,7 @@
         return True
 
 
-class ConnectionBook(LocalControl):
+class ConnectionRegistry(LocalControl):
     """Counts a member's connections against its limit."""
 
     def __init__(self, limit: int) -> None:
--- a/redwingpost/standin/control.py
+++ b/redwingpost/standin/control.py
@@ -77,13 +77,13 @@
     history = ",".join(str(first) for first in member.replica.log.history)
     return _single_row(
         member=member.name,
-        role="primary" if member.book.is_primary else "replica",
-        promised_term=member.book.promise.term,
+        role="primary" if member.term_state.is_primary else "replica",
+        promised_term=member.term_state.promise.term,
         received_term=received.term,
         received_index=received.index,
         applied_term=applied.term,
         applied_index=applied.index,
-        follows=member.book.follows,
+        follows=member.term_state.follows,
         history=history,
         age_ms=int(member.replica.age_s() * 1000),
     )
@@ -110,7 +110,7 @@
     head = member.replica.log.head
     return _single_row(
         ok=int(ok),
-        promised_term=member.book.promise.term,
+        promised_term=member.term_state.promise.term,
         received_term=head.term,
         received_index=head.index,
     )
@@ -131,7 +131,7 @@
     applied = member.replica.applied_position
     return _single_row(
         ok=int(ok),
-        promised_term=member.book.promise.term,
+        promised_term=member.term_state.promise.term,
         applied_term=applied.term,
         applied_index=applied.index,
     )
@@ -146,8 +146,8 @@
     applied = member.replica.applied_position
     return _single_row(
         ok=int(ok),
-        promised_term=member.book.promise.term,
-        claimant=member.book.promise.claimant,
+        promised_term=member.term_state.promise.term,
+        claimant=member.term_state.promise.claimant,
         received_term=received.term,
         received_index=received.index,
         applied_term=applied.term,
@@ -171,7 +171,9 @@
     """Start to replicate from another member."""
     member = session.member
     ok = member.follow(int(term), primary, ip, int(port))
-    return _single_row(ok=int(ok), promised_term=member.book.promise.term)
+    return _single_row(
+        ok=int(ok), promised_term=member.term_state.promise.term
+    )
 
 
 @CONTROLS.register("DIVERGED")
@@ -183,7 +185,7 @@
         ("statement", ColumnType.VAR_STRING),
     )
     columns = [ResultColumn(name, kind) for name, kind in names]
-    rows = [tuple(statement) for statement in session.member.replica.set_aside]
+    rows = [tuple(statement) for statement in session.member.replica.diverged]
     return ResultSet(rows, columns)
 
 
--- a/redwingpost/standin/group.py
+++ b/redwingpost/standin/group.py
@@ -1,4 +1,4 @@
-"""A database group: its members in one process, each with its own port."""
+"""A database group: members in one process, each with its own port."""
 
 from asyncio import gather
 from pathlib import Path
@@ -12,7 +12,7 @@
 from redwingpost.standin.replication_log import LogEntry
 from redwingpost.standin.settings import GroupSettings
 
-#: The term that the first primary leads.
+#: Term of the first primary.
 FIRST_TERM = 1
 
 
@@ -22,7 +22,7 @@
     Parameters
     ----------
     settings : GroupSettings
-        Members, limits and times.
+        Members, limits and durations.
     """
 
     def __init__(self, settings: GroupSettings) -> None:
@@ -36,11 +36,11 @@
 
     @property
     def fault_address(self) -> Address:
-        """Where fault orders are taken."""
+        """Address of the fault port."""
         return self._faults.address
 
     async def on_start(self) -> None:
-        """Start the members; the first primary leads term 1."""
+        """Start the members and make one the primary of the first term."""
         self._directory = TemporaryDirectory(prefix="redwing-group-")
         for name, endpoint in self.settings.members.items():
             path = Path(self._directory.name) / f"{name}.db"
@@ -49,13 +49,13 @@
             )
             self.members_by_name[name] = member
             await member.start()
-        self._appoint(self.settings.first_primary)
+        self._appoint_primary(self.settings.first_primary)
         await self._faults.start()
 
-    def _appoint(self, primary: str) -> None:
+    def _appoint_primary(self, primary: str) -> None:
         leader = self.members_by_name[primary]
         leader.claim(FIRST_TERM, "")
-        leader.book.lead(FIRST_TERM)
+        leader.term_state.lead(FIRST_TERM)
         leader.replica.commit(LogEntry(FIRST_TERM))
         for name, member in self.members_by_name.items():
             if name != primary:
@@ -71,7 +71,8 @@
         """Stop the members and delete their data."""
         await self._faults.stop()
         for member in self.members_by_name.values():
-            # A follower would dial a member that is just closing.
+            # Replication stops first: a replica would otherwise connect
+            # to a member that is being closed.
             await gather(*member.replica.stop(), return_exceptions=True)
         for member in self.members_by_name.values():
             await member.stop()
--- a/redwingpost/standin/group_faults.py
+++ b/redwingpost/standin/group_faults.py
@@ -23,25 +23,25 @@
 
 @GROUP_FAULTS.register("restart")
 async def restart(group: Any, member: str) -> None:
-    """Bring a dead member back, with data, log and promises."""
+    """Start a dead member again, with its data, log and promises."""
     await _member(group, member).restart()
 
 
 @GROUP_FAULTS.register("pause")
 async def pause(group: Any, member: str) -> None:
-    """Hold every answer of a member and its replication."""
+    """Delay all answers and replication of a member until ``resume``."""
     _member(group, member).pause()
 
 
 @GROUP_FAULTS.register("resume")
 async def resume(group: Any, member: str) -> None:
-    """Let a paused member go on."""
+    """End the pause of a member."""
     _member(group, member).resume()
 
 
 @GROUP_FAULTS.register("lag")
 async def lag(group: Any, member: str, ms: float) -> None:
-    """Let a member wait ``ms`` before it applies what it received."""
+    """Delay by ``ms`` the applying of entries that a member receives."""
     _member(group, member).replica.lag_s = float(ms) / 1000
 
 
@@ -69,18 +69,18 @@
     entries = log.after(0, len(log))
     return {
         "member": member,
-        "role": "primary" if target.book.is_primary else "replica",
-        "promised_term": target.book.promise.term,
+        "role": "primary" if target.term_state.is_primary else "replica",
+        "promised_term": target.term_state.promise.term,
         "applied_index": target.replica.applied,
         "tables": target.store.dump(),
         "log": entries,
-        "diverged": target.replica.set_aside,
+        "diverged": target.replica.diverged,
     }
 
 
 @GROUP_FAULTS.register("statements")
 async def statements(group: Any, member: str) -> dict[str, Any]:
-    """Return the last statements a member got, word for word."""
+    """Return the last statements that a member received, verbatim."""
     texts = _member(group, member).statements
     return {
         "statements": [
@@ -92,13 +92,13 @@
 
 @GROUP_FAULTS.register("status")
 async def status(group: Any) -> dict[str, Any]:
-    """Return what every member is, holds and carries just now."""
+    """Return each member's role, log indexes, connections and slots."""
     return {
         name: {
-            "role": "primary" if member.book.is_primary else "replica",
+            "role": "primary" if member.term_state.is_primary else "replica",
             "alive": member.is_alive,
             "port": member.port,
-            "promised_term": member.book.promise.term,
+            "promised_term": member.term_state.promise.term,
             "received_index": len(member.replica.log),
             "applied_index": member.replica.applied,
             "connections": member.connections.count,
--- a/redwingpost/standin/member.py
+++ b/redwingpost/standin/member.py
@@ -1,4 +1,4 @@
-"""One member of a database group: a MySQL server with a replica's log."""
+"""A member of a database group: MySQL server with replicated log."""
 
 from asyncio import (
     CancelledError,
@@ -17,12 +17,12 @@
 from mode import Service
 
 from redwingpost.standin.connection import (
-    ConnectionBook,
+    ConnectionRegistry,
     MemberIdentity,
     MemberServer,
 )
 from redwingpost.standin.limits import FifoLimiter, WriterLock
-from redwingpost.standin.promises import PromiseBook
+from redwingpost.standin.promises import TermState
 from redwingpost.standin.replica import Replica
 from redwingpost.standin.replication import (
     PullAnswer,
@@ -36,35 +36,39 @@
 from redwingpost.standin.store import Store
 from redwingpost.standin.transactions import Transaction
 
-#: Connection attempts that may wait for accept(2); a burst of drivers
-#: would otherwise be refused by the kernel instead of by the limit.
+#: Connection attempts that may wait for accept(2). With a small backlog
+#: the kernel would refuse a burst of drivers before the connection limit.
 BACKLOG = 512
 
-#: Turns of the loop from a readable listening socket to its transport:
-#: the accept, and the task that it starts.
+#: Loop iterations between a readable listening socket and the transport
+#: of the accepted connection: the accept, and the task that it starts.
 ACCEPT_TURNS = 2
 
 Address = tuple[str, int]
 
 
 class Member(Service):
-    """A member's server, its data and its promises.
+    """A member's server, data and promises.
 
-    What would survive a crash (data, log, promises, who is followed)
-    lives in the object across ``die`` and ``restart``.
+    State that survives a crash (data, log, promises and the followed
+    member) is kept across ``die`` and ``restart``. The next
+    ``lost_answers`` answers to statements that contain
+    ``lost_answers_match`` are lost: the connection is aborted instead.
+    ``generation`` counts the member's deaths.
 
     Parameters
     ----------
     name : str
-        The member's name in the configuration.
+        Name of the member in the configuration.
     endpoint : Endpoint
-        Where drivers reach it.
+        Address for drivers.
     settings : GroupSettings
-        Limits and times of the group.
+        Limits and durations of the group.
     path : Path
-        Its data file.
+        The member's data file.
     find_peer : callable
-        Member name -> address of its replication port.
+        Returns the address of a member's replication port by its name,
+        None if there is no such member.
     """
 
     def __init__(
@@ -82,12 +86,15 @@
         self.port = endpoint.port
         self.replication_port = 0
         self.store = Store(path)
-        self.book = PromiseBook(name)
+        self.term_state = TermState(name)
         self.replica = Replica(
-            self.book, self.store, endpoint.ip, settings.apply_lag_ms / 1000
+            self.term_state,
+            self.store,
+            endpoint.ip,
+            settings.apply_lag_ms / 1000,
         )
         self.slots = FifoLimiter(settings.slots)
-        self.connections = ConnectionBook(settings.connections)
+        self.connections = ConnectionRegistry(settings.connections)
         self.writing: Transaction | None = None
         self.generation = 0
         self.is_alive = False
@@ -102,26 +109,26 @@
         self._find_peer = find_peer
         self._server: MemberServer | None = None
         self._replication = None
-        self._pulling: set[StreamWriter] = set()
+        self._pull_writers: set[StreamWriter] = set()
 
     async def on_start(self) -> None:
-        """Listen to drivers and to followers."""
+        """Open the ports for drivers and for replicas."""
         await self.listen()
 
     async def on_stop(self) -> None:
-        """Close everything and let the data go."""
+        """Close all connections and the store."""
         await self.die()
         self.store.close()
 
     async def listen(self) -> None:
-        """Open the ports, the same as before after a restart."""
+        """Open the ports; after a restart they have the same numbers."""
         ip = self.endpoint.ip
         self.slots = FifoLimiter(self.settings.slots)
         self.writer_lock = WriterLock()
         self._server = MemberServer(
             session_factory=lambda: MemberSession(self),
             control=self.connections,
-            identity_provider=MemberIdentity(self._greet),
+            identity_provider=MemberIdentity(self._delay_handshake),
             host=ip,
             port=self.port,
             backlog=BACKLOG,
@@ -137,7 +144,7 @@
         self.restart_replica()
 
     async def die(self) -> None:
-        """Stop as a crash would: connections break, nothing is said."""
+        """Simulate a crash: abort all connections and close the ports."""
         if not self.is_alive:
             return
         self.is_alive = False
@@ -147,18 +154,18 @@
             self.writing.rollback()
         await self._stop_listening()
         self.connections.end_all()
-        for writer in list(self._pulling):
+        for writer in list(self._pull_writers):
             writer.transport.abort()
         self._running.set()
-        # Let the broken connections end before the ports may come back.
+        # The aborted connections must end before the ports are reopened.
         await sleep(0.01)
 
     async def _stop_listening(self) -> None:
-        """Close the listening sockets once accepted ones have settled.
+        """Close the listening sockets after pending accepts are complete.
 
-        The loop makes an accepted connection's transport a turn after
-        the accept, and logs an assertion where the server has been
-        closed in between.
+        The loop creates the transport of an accepted connection one
+        iteration after the accept, and logs an assertion error if the
+        server was closed in between.
         """
         servers = (self._server, self._replication)
         loop = get_running_loop()
@@ -170,68 +177,69 @@
             server.close()
 
     async def restart(self) -> None:
-        """Come back after ``die`` with what survives a crash."""
+        """Start again after ``die`` with the state that survives a crash."""
         if not self.is_alive:
             await self.listen()
 
     def pause(self) -> None:
-        """Hold every answer and every step of replication."""
+        """Delay all answers and replication until ``resume``."""
         self._running.clear()
 
     def resume(self) -> None:
-        """Go on after ``pause``."""
+        """End the pause."""
         self._running.set()
 
-    async def gate(self) -> None:
-        """Wait while the member is paused."""
+    async def wait_while_paused(self) -> None:
+        """Wait until the member is not paused."""
         if not self._running.is_set():
             await self._running.wait()
 
-    async def _greet(self) -> None:
+    async def _delay_handshake(self) -> None:
         await sleep(self.settings.connect_ms / 1000)
-        await self.gate()
+        await self.wait_while_paused()
 
-    async def serve_read(self, stated_s: float) -> None:
-        """Hold a slot as long as a read takes, and as long as it says."""
-        await self._serve(self.settings.read_ms, stated_s)
+    async def serve_read(self, sleep_s: float) -> None:
+        """Hold a slot for a read's duration plus its SLEEP time, seconds."""
+        await self._serve(self.settings.read_ms, sleep_s)
 
-    async def serve_write(self, stated_s: float, is_step: bool) -> None:
-        """Hold a slot as long as a write takes.
+    async def serve_write(self, sleep_s: float, is_step: bool) -> None:
+        """Hold a slot for a write's duration plus its SLEEP time.
 
-        A write inside an open transaction (``is_step``) is cheap, the
-        commit is what costs.
+        A write inside an open transaction (``is_step``) takes
+        ``step_ms``; the longer ``write_ms`` is the duration of a commit.
         """
         settings = self.settings
         cost = settings.step_ms if is_step else settings.write_ms
-        await self._serve(cost, stated_s)
+        await self._serve(cost, sleep_s)
 
-    async def serve_step(self, stated_s: float) -> None:
-        """Take a step of a transaction that has written before.
+    async def serve_step(self, sleep_s: float) -> None:
+        """Wait for a write of a transaction that has written before.
 
-        It doesn't queue for a slot again: MySQL lets a thread that is
-        inside go on (``innodb_concurrency_tickets``). The store here has
-        one lock for all writers where InnoDB has row locks; a holder that
-        queued behind its own waiters would stop every write.
+        It doesn't wait for a slot again, as in MySQL, where a thread that
+        is inside InnoDB continues (``innodb_concurrency_tickets``). The
+        store has one lock for all writers where InnoDB has row locks: if
+        its holder waited for a slot behind the sessions that wait for the
+        lock, no write could proceed.
         """
         cost_s = self.settings.step_ms / 1000 * self.slow_factor
-        await sleep(cost_s + stated_s)
+        await sleep(cost_s + sleep_s)
 
-    async def _serve(self, cost_ms: float, stated_s: float) -> None:
+    async def _serve(self, cost_ms: float, sleep_s: float) -> None:
         slots = self.slots
         await slots.acquire()
         try:
-            duration = cost_ms / 1000 * self.slow_factor + stated_s
+            duration = cost_ms / 1000 * self.slow_factor + sleep_s
             if duration > 0:
                 await sleep(duration)
         finally:
             slots.release()
 
-    def note_statement(self, text: str) -> None:
-        """Keep a statement for the search for keys."""
+    def record_statement(self, text: str) -> None:
+        """Keep a statement, so that a test can search it for keys."""
         self.statements.append(text)
 
     def loses_answer(self, text: str) -> bool:
-        """Say whether this answer is to be lost, and count it."""
+        """Return whether the answer to ``text`` is lost, and count it."""
         if self.lost_answers <= 0 or self.lost_answers_match not in text:
             return False
         self.lost_answers -= 1
@@ -240,11 +248,14 @@
     async def wait_position(
         self, term: int, timeout_s: float, holds: Callable[[], bool]
     ) -> bool:
-        """Wait until ``holds()`` while the promise is ``term``."""
+        """Wait until ``holds()`` is true under the promise of ``term``.
+
+        Returns False when a higher term is promised or after the timeout.
+        """
         loop = get_running_loop()
         deadline = loop.time() + timeout_s
         while True:
-            promised = self.book.promise.term
+            promised = self.term_state.promise.term
             if promised > term:
                 return False
             if promised == term and holds():
@@ -255,40 +266,46 @@
             await self.replica.changed.wait(left)
 
     def claim(self, term: int, claimant: str) -> bool:
-        """Promise a term and fence what a lower one left open."""
-        accepted = self.book.claim(term, claimant)
+        """Promise a term; if accepted, abort a lower term's open write."""
+        accepted = self.term_state.claim(term, claimant)
         if accepted:
             self._fence()
         return accepted
 
     def _fence(self) -> None:
-        if not self.book.is_primary and self.writing is not None:
-            self.writing.doom()
+        if not self.term_state.is_primary and self.writing is not None:
+            self.writing.abort_fenced()
         self.replica.changed.notify()
 
     async def promote(self, term: int, claimant: str) -> bool:
-        """Lead ``term`` once the relay log is applied."""
-        if not self.book.may_promote(term, claimant):
+        """Apply the relay log and become the primary of ``term``.
+
+        Returns False if ``term`` is not promised to ``claimant``.
+        """
+        if not self.term_state.may_promote(term, claimant):
             return False
-        if self.book.is_primary:
+        if self.term_state.is_primary:
             return True
         await self.replica.apply_all()
-        # Another claim may have come in while the relay log was applied;
-        # leading now would break the promise made to it.
-        if not self.book.may_promote(term, claimant):
+        # Another claim may have been accepted while the relay log was
+        # applied; becoming the primary now would break that promise.
+        if not self.term_state.may_promote(term, claimant):
             return False
-        if not self.book.is_primary:
-            self.book.lead(term)
+        if not self.term_state.is_primary:
+            self.term_state.lead(term)
             self.replica.commit(LogEntry(term))
             self.restart_replica()
         return True
 
     def follow(self, term: int, primary: str, ip: str, port: int) -> bool:
-        """Take the log of ``primary`` from now on."""
+        """Start to replicate from ``primary``.
+
+        Returns False if there is no such member or a promise forbids it.
+        """
         if self._find_peer(primary) is None:
             return False
-        was_following = (self.book.follows, self.book.follows_term)
-        if not self.book.follow(term, primary):
+        was_following = (self.term_state.follows, self.term_state.follows_term)
+        if not self.term_state.follow(term, primary):
             return False
         self._fence()
         if was_following != (primary, term):
@@ -296,38 +313,38 @@
         return True
 
     def restart_replica(self) -> None:
-        """Apply, and pull from the member that is followed, if any."""
+        """Restart applying, and pulling from the followed member if any."""
         address = None
-        if self.book.is_following:
-            address = self._find_peer(self.book.follows)
-        self.replica.start(self.gate, address)
+        if self.term_state.is_following:
+            address = self._find_peer(self.term_state.follows)
+        self.replica.start(self.wait_while_paused, address)
 
     async def _answer_pulls(
         self, reader: StreamReader, writer: StreamWriter
     ) -> None:
-        self._pulling.add(writer)
+        self._pull_writers.add(writer)
         try:
             while self.is_alive:
                 await self._answer_pull(reader, writer)
         except (OSError, EOFError, CancelledError):
             pass
         finally:
-            self._pulling.discard(writer)
+            self._pull_writers.discard(writer)
             writer.close()
 
     async def _answer_pull(
         self, reader: StreamReader, writer: StreamWriter
     ) -> None:
         pull = await read_pull(reader)
-        await self.gate()
-        log, book = self.replica.log, self.book
-        if len(log) <= pull.length and book.is_primary:
+        await self.wait_while_paused()
+        log, term_state = self.replica.log, self.term_state
+        if len(log) <= pull.length and term_state.is_primary:
             await self.replica.changed.wait(self.settings.pull_hold_ms / 1000)
-            await self.gate()
-        if not book.is_primary or book.primary_term != pull.term:
-            await send_frame(writer, PullAnswer(True, book.promise.term))
+            await self.wait_while_paused()
+        if not term_state.is_primary or term_state.primary_term != pull.term:
+            await send_frame(writer, PullAnswer(True, term_state.promise.term))
             return
-        answer = answer_pull(pull, log, book.primary_term)
+        answer = answer_pull(pull, log, term_state.primary_term)
         if answer.keep < pull.applied:
             answer = answer._replace(image=self.store.snapshot())
         await send_frame(writer, answer)
--- a/redwingpost/standin/promises.py
+++ b/redwingpost/standin/promises.py
@@ -1,21 +1,21 @@
-"""What a member has promised: terms, claims, promotion, following.
+"""A member's promises: terms, claims, promotion and following.
 
-Pure state, without network or clock: the member's service asks it what a
-control statement may do. A promise outlives a crash of the member.
+The state uses neither network nor clock; ``Member`` consults it before it
+executes a control statement. Promises survive a crash of the member.
 """
 
 from typing import NamedTuple
 
 
 class Promise(NamedTuple):
-    """The highest term a member has promised and who claimed it."""
+    """The highest term that a member has promised, and its claimant."""
 
     term: int = 0
     claimant: str = ""
 
 
-class PromiseBook:
-    """The promises of one member, and the term it leads or follows.
+class TermState:
+    """A member's promise and the term that it leads or follows.
 
     Parameters
     ----------
@@ -24,19 +24,19 @@
 
     Examples
     --------
-    >>> book = PromiseBook("m")
-    >>> book.claim(2, "vm-1")
+    >>> term_state = TermState("m")
+    >>> term_state.claim(2, "vm-1")
     True
-    >>> book.claim(2, "vm-2")
+    >>> term_state.claim(2, "vm-2")
     False
-    >>> book.may_promote(2, "vm-1")
+    >>> term_state.may_promote(2, "vm-1")
     True
-    >>> book.lead(2)
-    >>> book.is_primary
+    >>> term_state.lead(2)
+    >>> term_state.is_primary
     True
-    >>> book.claim(3, "vm-2")
+    >>> term_state.claim(3, "vm-2")
     True
-    >>> book.is_primary
+    >>> term_state.is_primary
     False
     """
 
@@ -49,26 +49,30 @@
 
     @property
     def is_primary(self) -> bool:
-        """Whether the member may commit: it leads its promised term."""
+        """Whether the member leads its promised term and may commit."""
         return self.primary_term > 0 and self.primary_term == self.promise.term
 
     @property
     def is_following(self) -> bool:
-        """Whether the member takes entries from the one it follows."""
+        """Whether the member follows another one in its promised term."""
         return bool(self.follows) and self.follows_term == self.promise.term
 
     def claim(self, term: int, claimant: str) -> bool:
-        """Promise ``term`` to ``claimant``; False where it is refused."""
-        asked = Promise(term, claimant)
+        """Promise ``term`` to ``claimant``.
+
+        Returns False if a higher term is promised, or this one to another
+        claimant.
+        """
+        requested = Promise(term, claimant)
         if term < self.promise.term:
             return False
-        if term == self.promise.term and asked != self.promise:
+        if term == self.promise.term and requested != self.promise:
             return False
-        self.promise = asked
+        self.promise = requested
         return True
 
     def may_promote(self, term: int, claimant: str) -> bool:
-        """Say whether the promise in force is this claimant's."""
+        """Return whether ``term`` is promised to ``claimant``."""
         return self.promise == Promise(term, claimant)
 
     def lead(self, term: int) -> None:
@@ -78,9 +82,10 @@
         self.follows_term = 0
 
     def follow(self, term: int, primary: str) -> bool:
-        """Follow ``primary``; False where the promise forbids it.
+        """Follow ``primary``; return False if the promise forbids it.
 
-        A primary doesn't leave its own term: the group would have none.
+        A primary can't become a follower in the term that it leads: the
+        group would have no primary.
         """
         if term < self.promise.term or primary == self.member:
             return False
--- a/redwingpost/standin/replication.py
+++ b/redwingpost/standin/replication.py
@@ -1,9 +1,10 @@
 """Replication between members: replicas pull over TCP.
 
-A follower asks for the entries beyond its log and tells its history; the
-primary holds the question until there are some, or a moment. The answer
-carries the primary's head: once a follower has applied it, its data are
-no older than the moment it *asked*.
+A follower requests the entries after its log and sends its history. The
+primary delays the answer until it has such entries, for a short time at
+most. The answer contains the primary's head: once the follower has
+applied it, its data are no older than the time at which it *sent* the
+request.
 """
 
 from asyncio import (
@@ -27,17 +28,17 @@
 _LENGTH = Struct("<I")
 _ENCODER = Encoder()
 
-#: Entries in one answer; bounds what a follower applies in one go.
-BATCH = 500
+#: Entries in one answer; bounds what a follower receives at once.
+MAX_ANSWER_ENTRIES = 500
 
-#: A pull that isn't answered for so long is asked again on a new
-#: connection: without it a follower of a member that died without a
-#: word would wait forever and its age would only grow. Seconds.
+#: Seconds after which an unanswered pull is sent again on a new
+#: connection. Without a timeout the follower of a member that died without
+#: closing its connection would wait forever while its data grow older.
 PULL_TIMEOUT_S = 2.0
 
 
 class Pull(NamedTuple):
-    """A follower's question."""
+    """A follower's request for entries after its log."""
 
     member: str
     term: int
@@ -47,11 +48,12 @@
 
 
 class PullAnswer(NamedTuple):
-    """The primary's answer.
+    """The primary's answer to a pull.
 
-    ``keep`` is the index up to which the follower's log is the
-    primary's; entries follow it. ``image`` is set where the follower has
-    applied more than that: the primary's data at the last entry.
+    ``keep`` is the last index up to which the follower's log equals the
+    primary's; ``entries`` start after it. ``image``, the primary's data
+    at the last entry, is set if the follower has applied entries after
+    ``keep``.
     """
 
     refused: bool
@@ -67,7 +69,7 @@
 
 
 def answer_pull(pull: Pull, log: ReplicationLog, term: int) -> PullAnswer:
-    """Return the entries that a follower lacks (image still unset).
+    """Return the entries that a follower lacks, without an image.
 
     Examples
     --------
@@ -77,13 +79,13 @@
     (LogEntry(term=1, statements=()),)
     """
     keep = common_index(pull.history, pull.length, log.history, len(log))
-    limit = len(log) if keep < pull.applied else BATCH
+    limit = len(log) if keep < pull.applied else MAX_ANSWER_ENTRIES
     entries = tuple(log.after(keep, limit))
     return PullAnswer(False, term, keep, entries, len(log))
 
 
 async def send_frame(writer: StreamWriter, message: tuple) -> None:
-    """Write a message with its length before it."""
+    """Write a message, preceded by its length."""
     body = _ENCODER.encode(message)
     writer.write(_LENGTH.pack(len(body)) + body)
     await writer.drain()
@@ -95,7 +97,7 @@
 
 
 async def read_pull(reader: StreamReader) -> Pull:
-    """Read a follower's question."""
+    """Read a follower's request."""
     return _PULLS.decode(await _read_frame(reader))
 
 
@@ -105,9 +107,9 @@
     Parameters
     ----------
     own_ip : str
-        The follower's address, which link faults are judged by.
+        The follower's address, by which link faults are selected.
     ip, port : str, int
-        Where the primary answers pulls.
+        The primary's replication port.
     """
 
     def __init__(self, own_ip: str, ip: str, port: int) -> None:
@@ -116,22 +118,22 @@
         self._reader: StreamReader | None = None
         self._writer: StreamWriter | None = None
 
-    async def ask(self, pull: Pull) -> PullAnswer:
+    async def request(self, pull: Pull) -> PullAnswer:
         """Send a pull and return its answer.
 
         Raises
         ------
         OSError, EOFError, TimeoutError
-            If no whole answer came; the channel is closed then.
+            If no complete answer arrived; the channel is closed then.
         """
         try:
             async with time_limit(PULL_TIMEOUT_S):
-                return await self._ask(pull)
+                return await self._request(pull)
         except BaseException:
             self.close()
             raise
 
-    async def _ask(self, pull: Pull) -> PullAnswer:
+    async def _request(self, pull: Pull) -> PullAnswer:
         if self._writer is None:
             ip, port = self._address
             self._reader, self._writer = await open_connection(
@@ -141,7 +143,7 @@
         return _ANSWERS.decode(await _read_frame(self._reader))
 
     def close(self) -> None:
-        """Drop the connection."""
+        """Abort the connection."""
         if self._writer is not None:
             self._writer.transport.abort()
         self._reader = self._writer = None
--- a/redwingpost/standin/replication_log.py
+++ b/redwingpost/standin/replication_log.py
@@ -1,9 +1,9 @@
 """A member's replication log: committed transactions in order.
 
-An entry is a transaction's statements with the term it was committed in;
-its index is its place in the log, from 1. Two logs that hold the same
-(term, index) hold the same entries up to it, so the point at which two
-logs part can be found from their histories alone.
+An entry is a transaction's statements with the term in which it was
+committed; its index is its position in the log, from 1. Two logs that
+hold the same (term, index) hold the same entries up to it, so the point
+at which two logs diverge follows from their histories alone.
 """
 
 from typing import Any, NamedTuple
@@ -12,14 +12,14 @@
 
 
 class LoggedStatement(NamedTuple):
-    """A statement as the members' store runs it, with its parameters."""
+    """A statement in the store's dialect, with its parameters."""
 
     sql: str
     parameters: tuple[Any, ...] = ()
 
 
 class LogEntry(NamedTuple):
-    """A committed transaction; a promotion is one without statements."""
+    """A committed transaction; a promotion has no statements."""
 
     term: int
     statements: tuple[LoggedStatement, ...] = ()
@@ -108,11 +108,11 @@
         return self._entries[index - 1]
 
     def after(self, index: int, limit: int) -> list[LogEntry]:
-        """Return at most ``limit`` entries beyond ``index``."""
+        """Return at most ``limit`` entries after ``index``."""
         return self._entries[index : index + limit]
 
     def truncate(self, index: int) -> list[LogEntry]:
-        """Drop the entries beyond ``index`` and return them."""
+        """Remove the entries after ``index`` and return them."""
         dropped = self._entries[index:]
         del self._entries[index:]
         self.history = tuple(
@@ -121,9 +121,9 @@
         return dropped
 
     def holds(self, term: int, index: int) -> bool:
-        """Say whether the log holds ``index`` as the primary of ``term``.
+        """Return whether the log holds ``index`` as ``term``'s primary does.
 
         The last entry must be of that term: a log that ends in an older
-        term may hold another entry at the same index.
+        term may hold a different entry at the same index.
         """
         return self.head.term == term and len(self._entries) >= index
--- a/redwingpost/standin/session.py
+++ b/redwingpost/standin/session.py
@@ -1,4 +1,4 @@
-"""A driver's session on a member: every statement comes through here."""
+"""A driver's session on a member, which runs all its statements."""
 
 from asyncio import CancelledError
 from datetime import datetime
@@ -36,7 +36,7 @@
 
 
 class MemberSession(BaseSession):
-    """One connection's state: transaction, variables, last results."""
+    """A connection's state: transaction, variables, last results."""
 
     def __init__(self, member: Any) -> None:
         self.variables = SessionVariables(GlobalVariables())
@@ -54,12 +54,12 @@
         self._result = (0, 0)
 
     async def init(self, connection: MemberConnection) -> None:
-        """Learn the connection once the handshake is over."""
+        """Set the connection after the handshake."""
         self.connection = connection
         self._publish_status()
 
     async def close(self) -> None:
-        """Roll back what the client left open."""
+        """Roll back an open transaction and close the store connection."""
         self.transaction.close()
 
     def take_result(self) -> tuple[int, int]:
@@ -68,7 +68,7 @@
         return result
 
     def clear(self) -> None:
-        """Make the session as new."""
+        """Reset the session to the state of a new connection."""
         self.transaction.renew()
         self.user_variables.clear()
         self.system_variables.clear()
@@ -79,27 +79,27 @@
     async def handle_query(self, sql: str, attrs: dict[str, str]):
         """Run one statement and return its result set, if any."""
         text = decode_statement(sql)
-        await self._pass_gate()
-        self.member.note_statement(text)
+        await self._wait_while_paused()
+        self.member.record_statement(text)
         self._result = (0, 0)
         try:
             answer = await self._dispatch(text)
         finally:
             self._publish_status()
-        await self._pass_gate()
+        await self._wait_while_paused()
         if self.member.loses_answer(text):
-            self._break()
+            self._abort_connection()
         return answer
 
-    async def _pass_gate(self) -> None:
-        """Wait while the member is paused; end if it died meanwhile."""
-        await self.member.gate()
+    async def _wait_while_paused(self) -> None:
+        """Wait while the member is paused; abort if it died meanwhile."""
+        await self.member.wait_while_paused()
         if self.generation != self.member.generation:
-            self._break()
+            self._abort_connection()
 
-    def _break(self) -> None:
-        # Cancelling its own task ends the connection's loop without a
-        # packet; any other exception would be answered with an error.
+    def _abort_connection(self) -> None:
+        # A cancellation ends the connection's loop without a packet; any
+        # other exception would be answered with an error packet.
         self.connection.drop()
         raise CancelledError
 
@@ -127,7 +127,7 @@
         return await self._run(statement)
 
     def values(self) -> SessionValues:
-        """Return what functions and variables in a statement stand for."""
+        """Return the values for functions and variables in a statement."""
         return SessionValues(
             now=datetime.now(),
             last_insert_id=self.last_insert_id,
@@ -157,9 +157,9 @@
         sql = plan.statements[0]
         if statement.sleep or _FROM.search(sql):
             await self.member.serve_read(statement.sleep)
-            await self._pass_gate()
+            await self._wait_while_paused()
         if plan.locks and self.transaction.is_open:
-            if self.member.book.is_primary:
+            if self.member.term_state.is_primary:
                 await self.transaction.lock()
         try:
             cursor = self.transaction.read(sql, statement.parameters)
@@ -172,24 +172,24 @@
         declared = self.member.store.declared_types(sql)
         columns: list[ResultColumn] = []
         converters = {}
-        for place, described in enumerate(description):
+        for index, described in enumerate(description):
             name = described[0]
-            kind = declared[place] if place < len(declared) else None
+            kind = declared[index] if index < len(declared) else None
             column = declared_column(name, kind) if kind else None
             if column is None:
-                values = [row[place] for row in rows]
+                values = [row[index] for row in rows]
                 columns.append(inferred_column(name, values))
                 continue
             columns.append(column)
             convert = converter(kind)
             if convert is not None:
-                converters[place] = convert
+                converters[index] = convert
         if converters:
             rows = [_converted(row, converters) for row in rows]
         return ResultSet(rows, columns)
 
     async def _write(self, statement: Statement) -> None:
-        if not self.member.book.is_primary:
+        if not self.member.term_state.is_primary:
             self.transaction.check()
             raise read_only()
         in_transaction = self.transaction.is_open
@@ -197,9 +197,9 @@
             await self.member.serve_step(statement.sleep)
         else:
             await self.member.serve_write(statement.sleep, in_transaction)
-        await self._pass_gate()
+        await self._wait_while_paused()
         await self.transaction.lock()
-        await self._pass_gate()
+        await self._wait_while_paused()
         self.transaction.check()
         try:
             self._execute(statement)
@@ -219,13 +219,13 @@
             for sql in plan.statements:
                 cursor = self.transaction.execute(sql, statement.parameters)
                 affected = max(cursor.rowcount, 0)
-                self._note_insert(plan.kind, sql, cursor)
+                self._record_insert_id(plan.kind, sql, cursor)
         self.row_count = affected
         inserted = self.last_insert_id if plan.kind == "INSERT" else 0
         self._result = (affected, inserted)
 
     def _upsert(self, statement: Statement) -> int:
-        """Insert or update; MySQL counts an update as two rows."""
+        """Insert or update; count an update as two rows, as MySQL does."""
         plan = statement.plan
         count = plan.probe.count("?")
         savepoint = self.transaction.store
@@ -236,10 +236,10 @@
         savepoint.execute("RELEASE probe")
         sql = plan.statements[0]
         cursor = self.transaction.execute(sql, statement.parameters)
-        self._note_insert(plan.kind, sql, cursor)
+        self._record_insert_id(plan.kind, sql, cursor)
         return inserted + 2 * (cursor.rowcount - inserted)
 
-    def _note_insert(self, kind: str, sql: str, cursor) -> None:
+    def _record_insert_id(self, kind: str, sql: str, cursor) -> None:
         if kind != "INSERT" or cursor.rowcount < 1:
             return
         match = _INSERTED.search(sql)
@@ -254,13 +254,13 @@
         if plan.temporary:
             self._define_temporary(plan.statements)
             return
-        if not self.member.book.is_primary:
+        if not self.member.term_state.is_primary:
             self.transaction.check()
             raise read_only()
         self.transaction.commit()
         await self.member.serve_write(statement.sleep, False)
         await self.transaction.lock()
-        await self._pass_gate()
+        await self._wait_while_paused()
         try:
             for sql in plan.statements:
                 self.transaction.execute(sql, ())
@@ -279,7 +279,7 @@
 
 def _converted(row: tuple, converters: dict) -> list:
     changed = list(row)
-    for place, convert in converters.items():
-        if changed[place] is not None:
-            changed[place] = convert(changed[place])
+    for index, convert in converters.items():
+        if changed[index] is not None:
+            changed[index] = convert(changed[index])
     return changed
--- a/redwingpost/standin/session_statements.py
+++ b/redwingpost/standin/session_statements.py
@@ -1,4 +1,4 @@
-"""Statements about the session itself: BEGIN, COMMIT, SET, SHOW …."""
+"""Statements on the session: BEGIN, COMMIT, SET, SHOW and others."""
 
 from collections.abc import Awaitable, Callable
 from re import IGNORECASE, compile as compile_pattern, match as match_pattern
@@ -29,10 +29,10 @@
 
 
 def find_session_statement(text: str) -> Handler | None:
-    """Return the handler of a statement about the session, or None."""
+    """Return the handler of a session statement, None for any other."""
     match = _FIRST.match(text)
     word = match.group(1).upper() if match else ""
-    return STATEMENTS.get(word) if word in _WORDS else None
+    return STATEMENTS.get(word) if word in _STATEMENT_NAMES else None
 
 
 @STATEMENTS.register("BEGIN")
@@ -47,14 +47,14 @@
 
 @STATEMENTS.register("COMMIT")
 async def commit(session: Any, text: str) -> None:
-    """Commit; the member's time for it counts if anything was written."""
+    """Commit; hold a slot for the commit if anything was written."""
     if session.transaction.commit():
         await session.member.serve_write(0.0, False)
 
 
 @STATEMENTS.register("ROLLBACK")
 async def rollback(session: Any, text: str) -> None:
-    """Undo the transaction, or back to a savepoint."""
+    """Undo the transaction, or the part after a savepoint."""
     partial = match_pattern(
         r"(?is)\s*ROLLBACK\s+(?:WORK\s+)?TO\s+(?:SAVEPOINT\s+)?`?(\w+)", text
     )
@@ -74,7 +74,7 @@
 
 @STATEMENTS.register("RELEASE")
 async def release(session: Any, text: str) -> None:
-    """Forget a savepoint."""
+    """Release a savepoint."""
     name = text.split()[-1].strip("`;")
     await _savepoint(session, f"RELEASE `{name}`")
 
@@ -89,7 +89,7 @@
 
 @STATEMENTS.register("SET")
 async def assign(session: Any, text: str) -> None:
-    """Set user and system variables; what isn't known is kept."""
+    """Set user and system variables; store unknown ones unchecked."""
     body = text.strip().rstrip(";")[3:].strip()
     isolation = _ISOLATION.match(body)
     if isolation is not None:
@@ -133,13 +133,13 @@
 
 @STATEMENTS.register("USE")
 async def use(session: Any, text: str) -> None:
-    """Choose a database; a member has one, so any name will do."""
+    """Select a database; a member has only one, so any name is accepted."""
     session.database = text.split()[-1].strip("`;")
 
 
 @STATEMENTS.register("SHOW")
 async def show(session: Any, text: str) -> ResultSet:
-    """Answer SHOW TABLES; other kinds are empty."""
+    """Answer SHOW TABLES; any other SHOW returns no rows."""
     rows = []
     if match_pattern(r"(?i)\s*SHOW\s+(?:FULL\s+)?TABLES", text):
         rows = session.transaction.store.execute(
@@ -152,9 +152,9 @@
 
 @STATEMENTS.register("DO")
 async def do(session: Any, text: str) -> None:
-    """Evaluate for the effect, ``DO SLEEP(1)``: holds a slot that long."""
+    """Hold a slot for the SLEEP time of an expression: ``DO SLEEP(1)``."""
     statement = translate(f"SELECT {text.strip()[2:]}", session.values())
     await session.member.serve_read(statement.sleep)
 
 
-_WORDS = frozenset(STATEMENTS.names())
+_STATEMENT_NAMES = frozenset(STATEMENTS.names())
--- a/redwingpost/standin/tests/support.py
+++ b/redwingpost/standin/tests/support.py
@@ -1,4 +1,4 @@
-"""Helpers of the stand-ins' tests: a group, a driver, a fault order."""
+"""Helpers for the stand-ins' tests: settings, drivers, fault commands."""
 
 from typing import Any
 
@@ -9,7 +9,7 @@
 
 
 def quick_settings(**changes: Any) -> GroupSettings:
-    """Return a group whose statements and connections cost no time."""
+    """Return settings of a group that adds no delay to statements."""
     members = {
         "a": Endpoint("127.1.101.1"),
         "b": Endpoint("127.2.101.1"),
@@ -29,7 +29,7 @@
 
 
 async def dial(group: GroupStandin, name: str) -> Connection:
-    """Open a driver's connection to a member."""
+    """Open an asyncmy connection to a member."""
     member = group.members_by_name[name]
     return await connect(
         host=member.endpoint.ip,
@@ -55,7 +55,7 @@
 
 
 async def order(address: tuple[str, int], fault: str, **arguments: Any):
-    """Send a fault order; return status and answer."""
+    """Send a fault command; return the HTTP status and the answer."""
     url = f"http://{address[0]}:{address[1]}/faults"
     async with ClientSession() as client:
         async with client.post(
--- a/redwingpost/standin/tests/test_drivers.py
+++ b/redwingpost/standin/tests/test_drivers.py
@@ -1,4 +1,4 @@
-"""Three drivers against one member: what goes in comes out the same."""
+"""Three drivers against one member: values are read as written."""
 
 from asyncio import to_thread
 from datetime import date, datetime, timedelta
@@ -16,7 +16,7 @@
     rows,
 )
 
-#: Column type, then values that must come back as they went in.
+#: Column type and values that must be read back unchanged.
 VALUES = [
     ("TINYINT", [-128, 127, 0]),
     ("SMALLINT", [-32768, 32767]),
@@ -37,7 +37,7 @@
 
 
 class PyMysql:
-    """PyMySQL, blocking, on a thread."""
+    """PyMySQL, a blocking driver that tests run on a thread."""
 
     def __init__(self, host, port):
         self.connection = connect_pymysql(
@@ -51,7 +51,7 @@
             return [tuple(row) for row in cursor.fetchall()]
 
     def count(self, sql):
-        """Return how many rows a write touched."""
+        """Return the number of rows that a write affected."""
         with self.connection.cursor() as cursor:
             cursor.execute(sql)
             return cursor.rowcount
@@ -62,7 +62,7 @@
 
 
 class Connector(PyMysql):
-    """mysql-connector-python in pure Python, on a thread."""
+    """mysql-connector-python without its C extension."""
 
     def __init__(self, host, port):
         self.connection = connect_connector(
--- a/redwingpost/standin/tests/test_group.py
+++ b/redwingpost/standin/tests/test_group.py
@@ -1,4 +1,4 @@
-"""A database group's stand-in, asked by a real driver."""
+"""Tests of the group stand-in with a real MySQL driver."""
 
 from asyncio import gather
 from datetime import datetime
@@ -26,7 +26,7 @@
 
 
 class GroupCase(IsolatedAsyncioTestCase):
-    """Starts a group whose statements cost no time."""
+    """Starts a group that adds no delay to statements."""
 
     settings = quick_settings()
 
@@ -46,7 +46,7 @@
             await rows(connection, sql)
         return caught.exception.args[0]
 
-    async def write_point(self, connection):
+    async def last_position(self, connection):
         return (await rows(connection, "REDWING POSITION"))[0]
 
     async def promote(self, name, term):
@@ -122,7 +122,7 @@
                 self.assertEqual(await self.error(connection, sql), number)
 
     async def test_failed_statement_leaves_transaction_open(self):
-        """A duplicate inside a transaction undoes only its statement."""
+        """A duplicate key inside a transaction undoes only its statement."""
         primary = await self.dial("a")
         await rows(primary, CREATE)
         await rows(primary, "BEGIN")
@@ -171,7 +171,7 @@
         replica = await self.dial("b")
         await rows(primary, CREATE)
         await rows(primary, "INSERT INTO plans (name) VALUES ('x')")
-        term, index = await self.write_point(primary)
+        term, index = await self.last_position(primary)
         waited = await rows(
             replica, f"REDWING WAIT APPLIED {term} {index} 5000"
         )
@@ -180,10 +180,10 @@
         self.assertEqual(found, [("x",)])
 
     async def test_fence_rolls_an_open_transaction_back(self):
-        """A promotion begins while a caller's transaction is open.
+        """A new term is claimed while a caller's transaction is open.
 
-        The old primary must not commit it any more; the caller sees
-        error 1290 at its commit instead of an acknowledgement.
+        The old primary must not commit the transaction; the caller's
+        commit fails with error 1290 instead of being acknowledged.
         """
         primary = await self.dial("a")
         await rows(primary, CREATE)
@@ -195,14 +195,14 @@
         self.assertEqual(await rows(primary, "SELECT * FROM plans"), [])
 
     async def test_diverged_tail_is_set_aside(self):
-        """A primary commits alone, is replaced and comes back.
+        """A primary commits unreplicated, is replaced and then follows.
 
-        What only it held must not be merged: a caller would see a
-        reservation that the group doesn't hold.
+        Entries that only it holds must not be merged: a caller would see
+        a reservation that the group doesn't hold.
         """
         primary = await self.dial("a")
         await rows(primary, CREATE)
-        term, index = await self.write_point(primary)
+        term, index = await self.last_position(primary)
         for name in ("b", "c"):
             other = await self.dial(name)
             await rows(other, f"REDWING WAIT APPLIED {term} {index} 5000")
@@ -211,7 +211,7 @@
         await self.promote("b", 3)
         leader = await self.dial("b")
         await rows(leader, "INSERT INTO plans (name) VALUES ('kept')")
-        term, index = await self.write_point(leader)
+        term, index = await self.last_position(leader)
         old = await self.dial("a")
         await rows(old, f"REDWING WAIT APPLIED {term} {index} 5000")
         found = await rows(old, "SELECT name FROM plans")
@@ -226,15 +226,15 @@
     async def test_cut_holds_replication_up(self):
         """A replica's data centre is cut off from the primary's.
 
-        Writes go on, the replica doesn't get them, and its age grows;
-        when the cut heals it catches up.
+        Writes continue, but the replica doesn't receive them; it catches
+        up when the cut ends.
         """
         primary = await self.dial("a")
         await rows(primary, CREATE)
         cut = {"from": "127.2.0.0/16", "to": "127.1.0.0/16", "kind": "cut"}
         await self.set_rules([cut])
         await rows(primary, "INSERT INTO plans (name) VALUES ('x')")
-        term, index = await self.write_point(primary)
+        term, index = await self.last_position(primary)
         for name, expected in (("b", 0), ("c", 1)):
             replica = await self.dial(name)
             wait = f"REDWING WAIT APPLIED {term} {index} {1 + 5000 * expected}"
@@ -261,9 +261,9 @@
         return answer
 
     async def test_lost_answer_took_effect(self):
-        """The member commits, but the answer never arrives.
+        """The member commits, but its answer never arrives.
 
-        The caller can't tell this from a write that didn't run.
+        The caller can't distinguish this from a write that didn't run.
         """
         primary = await self.dial("a")
         await rows(primary, CREATE)
@@ -275,7 +275,7 @@
         self.assertEqual(found, [("x",)])
 
     async def test_death_keeps_promises_and_data(self):
-        """A member dies and comes back: its promises must hold."""
+        """A member that dies and restarts keeps its promises and data."""
         primary = await self.dial("a")
         await rows(primary, CREATE)
         await rows(primary, "REDWING CLAIM 7 vm-9")
--- a/redwingpost/standin/tests/test_promotions.py
+++ b/redwingpost/standin/tests/test_promotions.py
@@ -1,9 +1,9 @@
 """Random claims, promotions, crashes and writes against one group.
 
-Terms change while writes run, members die and come back with their
-promises, pulls are under way throughout. Whatever the order, two logs
-that hold the same (term, index) must hold the same entries up to it, and
-a member's data must be what its log says.
+Terms change during writes, and members die and restart with their promises
+while replicas pull. In any order of events, two logs that hold the same
+(term, index) must hold the same entries up to it, and a member's data must
+result from its log.
 """
 
 from asyncio import sleep
@@ -18,12 +18,12 @@
 
 CREATE = "CREATE TABLE seats (n INTEGER PRIMARY KEY, holder TEXT)"
 
-#: Promotions in the test; the stand-in was also run with 1,000.
+#: Promotions in each run of the test.
 PROMOTIONS = 60
 
 
 class Chaos:
-    """Drives a group by a seeded random source and checks its logs."""
+    """Applies seeded random events to a group and checks its logs."""
 
     def __init__(self, group, seed):
         self.group = group
@@ -33,11 +33,13 @@
         self.written = 0
         self.primaries_by_term = {1: "a"}
         self.promoted = 0
-        self.set_aside = 0
+        self.diverged = 0
 
     async def write(self):
-        """Let some member that believes it leads commit one row."""
-        leaders = [m for m in self.members if m.book.is_primary and m.is_alive]
+        """Commit one row at a random member that is primary by its state."""
+        leaders = [
+            m for m in self.members if m.term_state.is_primary and m.is_alive
+        ]
         if not leaders:
             return
         member = self.random.choice(leaders)
@@ -45,7 +47,7 @@
         try:
             await transaction.lock()
             self.written += 1
-            holder = f"{member.name}-{member.book.promise.term}"
+            holder = f"{member.name}-{member.term_state.promise.term}"
             transaction.execute(
                 "INSERT OR REPLACE INTO seats VALUES (?, ?)",
                 (self.written % 97, holder),
@@ -57,7 +59,7 @@
             transaction.close()
 
     async def promote(self):
-        """Claim a new term at a majority and promote its best member."""
+        """Claim a new term at a majority; promote the newest log's member."""
         alive = [m for m in self.members if m.is_alive]
         if len(alive) < 2:
             return
@@ -77,37 +79,42 @@
                 member.follow(self.term, best.name, "", 0)
 
     async def crash(self):
-        """Kill a member, or bring the dead ones back."""
+        """Kill a random member, or restart a dead one."""
         dead = [m for m in self.members if not m.is_alive]
         if dead:
             await dead[0].restart()
             return
         await self.random.choice(self.members).die()
 
-    async def rival(self):
-        """Let another claimant raise the promise of one member."""
+    async def claim_for_rival(self):
+        """Claim a new term at one member for another claimant."""
         member = self.random.choice(self.members)
         if member.is_alive and self.random.random() < 0.3:
             self.term += 1
             member.claim(self.term, "vm-2")
 
-    async def pace(self):
-        """Change a member's lag and let pulls run."""
+    async def change_lag(self):
+        """Change a member's lag and give pulls time to run."""
         member = self.random.choice(self.members)
         member.replica.lag_s = self.random.choice((0.0, 0.0, 0.05))
         await sleep(self.random.choice((0.0, 0.001, 0.003)))
 
     async def run(self, promotions):
-        """Go on until so many promotions have come about."""
+        """Run random events until there were ``promotions`` promotions."""
         weighted = [self.write] * 6 + [self.promote] * 2
-        weighted += [self.crash, self.rival, self.pace, self.pace]
+        weighted += [
+            self.crash,
+            self.claim_for_rival,
+            self.change_lag,
+            self.change_lag,
+        ]
         while self.promoted < promotions:
             await self.random.choice(weighted)()
             self.check_logs()
-        await self.settle()
+        await self.check_convergence()
 
     def check_logs(self):
-        """Assert the log matching property for every pair."""
+        """Assert the log matching property for each pair of members."""
         for member in self.members:
             log = member.replica.log
             assert member.replica.applied <= len(log)
@@ -123,12 +130,12 @@
                     assert first.entry(place) == second.entry(place), place
                 return
 
-    async def settle(self):
-        """Bring everyone back under one primary and compare all."""
+    async def check_convergence(self):
+        """Unite all members under one primary and compare their data."""
         for member in self.members:
             await member.restart()
             member.replica.lag_s = 0.0
-        self.term = max(m.book.promise.term for m in self.members) + 1
+        self.term = max(m.term_state.promise.term for m in self.members) + 1
         for member in self.members:
             assert member.claim(self.term, "vm-1")
         best = max(self.members, key=lambda m: m.replica.log.head)
@@ -148,11 +155,11 @@
         assert logs[0] == logs[1] == logs[2]
         dumps = [m.store.dump() for m in self.members]
         assert dumps[0] == dumps[1] == dumps[2]
-        self.set_aside = sum(len(m.replica.set_aside) for m in self.members)
+        self.diverged = sum(len(m.replica.diverged) for m in self.members)
 
 
 async def run_chaos(seed, promotions):
-    """Run one seeded history; return what it went through."""
+    """Run a group through random events; return the `Chaos` object."""
     getLogger("mysql_mimic").setLevel(CRITICAL)
     group = GroupStandin(quick_settings(pull_hold_ms=2))
     await group.start()
@@ -164,7 +171,7 @@
         transaction.commit()
         transaction.close()
         for member in group.members_by_name.values():
-            # A promotion must not drop the table itself.
+            # Otherwise a promotion could discard the table's creation.
             await member.wait_position(
                 1, 10.0, lambda m=member: m.replica.applied == 2
             )
@@ -180,4 +187,4 @@
         for seed in (1, 2):
             with self.subTest(seed=seed):
                 chaos = await run_chaos(seed, PROMOTIONS)
-                self.assertGreater(chaos.set_aside, 0)
+                self.assertGreater(chaos.diverged, 0)
--- a/redwingpost/standin/transactions.py
+++ b/redwingpost/standin/transactions.py
@@ -1,9 +1,8 @@
-"""One connection's transaction on a member: open, locked, logged.
+"""A connection's transaction on a member: snapshot, lock and log.
 
-SQLite takes one writer at a time, so a transaction takes the member's
-writer lock with its first write and keeps it to its end, as InnoDB keeps
-row locks. A statement that fails is undone alone; the transaction stays
-open.
+SQLite allows one writer at a time, so a transaction acquires the member's
+writer lock with its first write and holds it to its end, as InnoDB holds
+row locks. A failed statement is undone alone; the transaction stays open.
 """
 
 from sqlite3 import Connection, Cursor
@@ -21,40 +20,40 @@
     Parameters
     ----------
     member : Member
-        Whose store, lock and log it uses.
+        Member whose store, writer lock and log are used.
     """
 
     def __init__(self, member: Any) -> None:
         self.member = member
         self.store: Connection = member.store.connect()
         self.is_open = False
-        self.is_doomed = False
+        self.is_fenced = False
         self.is_writing = False
         self.last_commit: Position = ZERO_POSITION
-        self._reads = False
+        self._is_reading = False
         self._lock: WriterLock | None = None
         self._statements: list[LoggedStatement] = []
 
     def begin(self) -> None:
-        """Open a transaction; an open one is committed before."""
+        """Open a transaction; the caller commits an open one before."""
         self.is_open = True
 
     def read(self, sql: str, parameters: tuple) -> Cursor:
-        """Run a read, inside the open transaction's snapshot if any."""
+        """Run a read, in the open transaction's snapshot if there is one."""
         self.check()
-        if self.is_open and not self._reads and not self.is_writing:
+        if self.is_open and not self._is_reading and not self.is_writing:
             self.store.execute("BEGIN")
-            self._reads = True
+            self._is_reading = True
         return self.store.execute(sql, parameters)
 
     async def lock(self) -> None:
-        """Become the writer; the snapshot of earlier reads is renewed.
+        """Acquire the writer lock; replace the snapshot of earlier reads.
 
         Raises
         ------
         MemberError
-            1205 when the lock didn't come in time, 1290 when the member
-            takes no writes (any more).
+            1205 if the lock wasn't acquired in time, 1290 if the member
+            is no longer the primary.
         """
         self.check()
         if self.is_writing:
@@ -62,7 +61,7 @@
         lock = self.member.writer_lock
         if not await lock.acquire(self.member.lock_wait_s):
             raise lock_timeout()
-        if not self.member.book.is_primary or self.is_doomed:
+        if not self.member.term_state.is_primary or self.is_fenced:
             lock.release()
             raise read_only()
         self._lock = lock
@@ -72,16 +71,17 @@
         self.member.writing = self
 
     def execute(self, sql: str, parameters: tuple) -> Cursor:
-        """Run a write and note it for the log."""
+        """Run a write and record it for the log."""
         cursor = self.store.execute(sql, parameters)
         self._statements.append(LoggedStatement(sql, parameters))
         return cursor
 
     def commit(self) -> bool:
-        """Commit; True if anything was written.
+        """Commit; return whether anything was written.
 
-        The log takes the transaction in the same step of the loop, so
-        no other transaction can come between.
+        The store's commit and the append to the log happen without an
+        await between them, so that both have the same order of
+        transactions.
         """
         self.check()
         self.is_open = False
@@ -90,55 +90,61 @@
             return False
         self.store.execute("COMMIT")
         statements = tuple(self._statements)
-        self._release()
+        self._end_write()
         if not statements:
             return False
-        entry = LogEntry(self.member.book.primary_term, statements)
+        entry = LogEntry(self.member.term_state.primary_term, statements)
         self.last_commit = self.member.replica.commit(entry)
         for statement in statements:
             self.member.store.invalidate_on_definition(statement.sql)
         return True
 
     def rollback(self) -> None:
-        """Undo the transaction; harmless where none is open."""
+        """Undo the transaction, if one is open."""
         self.is_open = False
-        self.is_doomed = False
+        self.is_fenced = False
         self._end_reads()
         if self.is_writing:
             self.store.execute("ROLLBACK")
-            self._release()
+            self._end_write()
 
-    def doom(self) -> None:
-        """Undo it because the member was fenced; the caller learns it."""
+    def abort_fenced(self) -> None:
+        """Undo the transaction because the member was fenced.
+
+        If it was open, the caller's next statement raises 1290.
+        """
         was_open = self.is_open
         self.rollback()
-        self.is_doomed = was_open
+        self.is_fenced = was_open
 
     def check(self) -> None:
-        """Raise 1290, once, for a transaction that the fence undid."""
-        if self.is_doomed:
-            self.is_doomed = False
+        """Raise 1290, once, if the transaction was undone by a fence."""
+        if self.is_fenced:
+            self.is_fenced = False
             self.is_open = False
             raise read_only()
 
     def _end_reads(self) -> None:
-        if self._reads:
+        if self._is_reading:
             self.store.execute("COMMIT")
-            self._reads = False
+            self._is_reading = False
 
-    def _release(self) -> None:
+    def _end_write(self) -> None:
         self.is_writing = False
         self._statements = []
         self.member.writing = None
         self._lock.release()
 
     def renew(self) -> None:
-        """Begin anew on a fresh store connection: no temporary tables."""
+        """Roll back and replace the store connection, as on a new session.
+
+        This drops temporary tables.
+        """
         self.rollback()
         self.store.close()
         self.store = self.member.store.connect()
 
     def close(self) -> None:
-        """Undo what is open and let go of the store."""
+        """Roll back and close the store connection."""
         self.rollback()
         self.store.close()
