--- a/redwingpost/standin/columns.py
+++ b/redwingpost/standin/columns.py
@@ -1,4 +1,4 @@
-"""Result columns: from a declared type to MySQL's column type."""
+"""Result columns: MySQL column types of declared types."""
 
 from collections.abc import Callable
 from datetime import date, datetime, timedelta
@@ -44,19 +44,19 @@
     "LONGBLOB": ColumnType.BLOB,
 }
 
-#: MySQL's DECIMAL has up to 65 digits.
+#: MySQL's DECIMAL has at most 65 digits.
 _DECIMALS = Context(prec=65)
 
 
 class Declared(NamedTuple):
-    """A declared type: its word and its sizes (``DECIMALTEXT``, 10, 2)."""
+    """A declared type: word and sizes, as ``DECIMALTEXT``, (10, 2)."""
 
     word: str
     sizes: tuple[int, ...] = ()
 
 
 def parse_declared(text: str) -> Declared:
-    """Read a declared type from the store's catalogue.
+    """Parse a declared type of the store's catalogue.
 
     Examples
     --------
@@ -132,8 +132,8 @@
 def declared_column(name: str, declared: Declared) -> ResultColumn:
     """Return the result column of a declared type.
 
-    Blobs carry the character set ``binary``; without it drivers decode
-    them as text and fail.
+    Blobs have the character set ``binary``: with any other, drivers
+    decode them as text and fail.
     """
     kind = TYPE_BY_WORD[declared.word]
     charset = (
@@ -150,7 +150,7 @@
 
 
 def inferred_column(name: str, values: list[Any]) -> ResultColumn:
-    """Return a column for an expression, judged by its first value."""
+    """Return an expression's column, typed by its first non-null value."""
     first = next((value for value in values if value is not None), None)
     if isinstance(first, bytes):
         return ResultColumn(name, ColumnType.BLOB, CharacterSet.binary)
@@ -163,7 +163,7 @@
     return ResultColumn(name, ColumnType.VAR_STRING)
 
 
-def _scaled(digits: int) -> Callable[[Any], Any]:
+def _decimal_formatter(digits: int) -> Callable[[Any], Any]:
     step = Decimal(1).scaleb(-digits)
 
     def scale(value: Any) -> Any:
@@ -187,9 +187,14 @@
 
 
 def converter(declared: Declared) -> Callable[[Any], Any] | None:
-    """Return what brings a stored value into its declared form."""
+    """Return a function that converts stored values to a declared type.
+
+    None means that no conversion is needed.
+    """
     if declared.word == "DECIMALTEXT":
-        return _scaled(declared.sizes[1] if len(declared.sizes) > 1 else 0)
+        return _decimal_formatter(
+            declared.sizes[1] if len(declared.sizes) > 1 else 0
+        )
     if declared.word.endswith("BLOB"):
         return _as_bytes
     if declared.word.endswith(("TEXT", "CHAR")):
--- a/redwingpost/standin/connection.py
+++ b/redwingpost/standin/connection.py
@@ -1,8 +1,8 @@
-"""MySQL connections of a member: the library's, made to fit.
+"""MySQL connections of a member: adaptations of the library's classes.
 
-The library answers a write without its affected rows, knows only its own
-error numbers, decodes a statement strictly (a blob inside a literal isn't
-UTF-8) and treats COM_RESET_CONNECTION as a no-op.
+The library answers a write without its affected rows, accepts only its
+own error numbers, decodes statements strictly (a blob inside a literal
+isn't UTF-8) and treats COM_RESET_CONNECTION as a no-op.
 """
 
 from asyncio import CancelledError, IncompleteReadError
@@ -41,34 +41,34 @@
 
     @property
     def client_charset(self) -> CharacterSet:
-        """Latin-1, which keeps every byte; the session decodes it."""
+        """Latin-1, which keeps every byte; the session decodes statements."""
         return CharacterSet.latin1
 
     def ok(self, **fields: Any) -> bytes:
-        """Return an OK packet with what the last write changed."""
+        """Return an OK packet with the last write's affected rows and id."""
         if not fields:
             affected, inserted = self.session.take_result()
             fields = {"affected_rows": affected, "last_insert_id": inserted}
         return super().ok(**fields)
 
     def error(self, msg: Any = "", code: int = 1105) -> bytes:
-        """Return an error packet; any MySQL number will do."""
+        """Return an error packet; accepts any MySQL error number."""
         head = b"\xff" + int(code).to_bytes(2, "little")
         if Capabilities.CLIENT_PROTOCOL_41 in self.capabilities:
             head += b"#" + _sqlstate(int(code))
         return head + str(msg).encode(errors="replace")
 
     async def handle_reset_connection(self, data: bytes) -> None:
-        """Clear the session's state, as COM_RESET_CONNECTION asks."""
+        """Clear the session's state, on COM_RESET_CONNECTION."""
         self.session.clear()
         await self.stream.write(self.ok())
 
     def drop(self) -> None:
-        """Break the connection without a word."""
+        """Abort the connection without sending a packet."""
         self.stream.writer.transport.abort()
 
     def end(self) -> None:
-        """Break the connection and whatever it is waiting for."""
+        """Abort the connection and cancel its task."""
         self.drop()
         if self._task is not None:
             self._task.cancel()
@@ -85,10 +85,10 @@
 
 
 class MemberIdentity(IdentityProvider):
-    """Takes any user and password, after the time a connection costs."""
+    """Accepts any user and password, after the connection delay."""
 
-    def __init__(self, connect: Callable) -> None:
-        self._connect = connect
+    def __init__(self, delay_handshake: Callable) -> None:
+        self._delay_handshake = delay_handshake
         self._plugin = _AnyPassword()
 
     def get_plugins(self):
@@ -96,13 +96,13 @@
         return [self._plugin]
 
     async def get_user(self, username: str) -> User:
-        """Return the user, after the time a connection costs."""
-        await self._connect()
+        """Return the user, after the connection delay."""
+        await self._delay_handshake()
         return User(name=username, auth_plugin=self._plugin.name)
 
 
 class _AnyPassword(NativePasswordAuthPlugin):
-    """Asks for a password as usual and takes every answer."""
+    """Requests a password as usual and accepts any answer."""
 
     def password_matches(self, user, scramble, nonce) -> bool:
         return True
@@ -117,30 +117,36 @@
 
     @property
     def count(self) -> int:
-        """How many connections are open."""
+        """Number of open connections."""
         return len(self._connections)
 
     async def add(self, connection: Connection) -> int:
-        """Take a connection in, unless the member is full."""
+        """Register a connection.
+
+        Raises
+        ------
+        TooManyConnections
+            If the limit is reached.
+        """
         if self.count >= self.limit:
             raise TooManyConnections()
         return await super().add(connection)
 
     def end_all(self) -> None:
-        """Break every connection."""
+        """Abort all connections."""
         for connection in list(self._connections.values()):
             connection.end()
 
 
 class MemberServer(MysqlServer):
-    """The library's server with the member's connections."""
+    """The library's server, with connections of `MemberConnection`."""
 
     async def _client_connected_cb(self, reader, writer) -> None:
         try:
             await self._serve(MysqlStream(reader, writer))
         except _LOST:
-            # A client that leaves in the middle is an ordinary event;
-            # the library would log a traceback for each on a stop.
+            # A client may disconnect at any time, and at a stop the
+            # library would log a traceback for each connection.
             pass
         finally:
             writer.close()
--- a/redwingpost/standin/ddl.py
+++ b/redwingpost/standin/ddl.py
@@ -1,9 +1,9 @@
-"""CREATE TABLE and its kin: MySQL's types in SQLite's catalogue.
+"""Translation of CREATE TABLE, with MySQL's types in SQLite's catalogue.
 
-SQLite keeps a column's declared type word for word but converts values
-by *affinity*, which it guesses from that word: DECIMAL would become a
-float. Each MySQL type is therefore declared by a word whose affinity
-leaves its values whole; ``columns`` reads the word back.
+SQLite stores a column's declared type verbatim but converts values by
+*affinity*, which it derives from that word: DECIMAL would become a float.
+Each MySQL type is therefore declared by a word whose affinity keeps its
+values unchanged; ``columns`` reads the word back.
 """
 
 from re import IGNORECASE, compile as compile_pattern, sub
@@ -47,7 +47,7 @@
 
 
 def split_list(body: str) -> list[str]:
-    """Split at the commas that stand outside brackets and quotes.
+    """Split at the commas outside brackets and quotes.
 
     Examples
     --------
@@ -58,7 +58,7 @@
     depth = 0
     quoted = ""
     start = 0
-    for place, letter in enumerate(body):
+    for index, letter in enumerate(body):
         if quoted:
             quoted = "" if letter == quoted else quoted
         elif letter in "'`":
@@ -66,8 +66,8 @@
         elif letter in "()":
             depth += 1 if letter == "(" else -1
         elif letter == "," and depth == 0:
-            parts.append(body[start:place].strip())
-            start = place + 1
+            parts.append(body[start:index].strip())
+            start = index + 1
     parts.append(body[start:].strip())
     return parts
 
@@ -75,8 +75,8 @@
 def _closing_bracket(sql: str, start: int) -> int:
     depth = 1
     quoted = ""
-    for place in range(start, len(sql)):
-        letter = sql[place]
+    for index in range(start, len(sql)):
+        letter = sql[index]
         if quoted:
             quoted = "" if letter == quoted else quoted
         elif letter in "'`":
@@ -86,7 +86,7 @@
         elif letter == ")":
             depth -= 1
             if depth == 0:
-                return place
+                return index
     return len(sql)
 
 
@@ -104,7 +104,7 @@
 
 
 def rewrite_column(definition: str) -> str:
-    """Return a column's definition as SQLite takes it.
+    """Translate a column definition to SQLite's dialect.
 
     Examples
     --------
@@ -116,7 +116,7 @@
     match = _COLUMN.match(definition)
     if match is None:
         return definition
-    name, kind = match["name"], match["type"].upper()
+    name, type_name = match["name"], match["type"].upper()
     size, rest = match["size"] or "", _clean_options(match["rest"])
     if "AUTO_INCREMENT" in rest.upper():
         return f"{name} INTEGER PRIMARY KEY AUTOINCREMENT"
@@ -125,22 +125,22 @@
         binary = "_bin" in rest.lower()
         rest = sub(r"(?i)\bCOLLATE\s+\w+", "", rest)
         collation = "" if binary else " COLLATE NOCASE"
-    elif kind in _COLLATED:
+    elif type_name in _COLLATED:
         collation = " COLLATE NOCASE"
-    if kind in ("DECIMAL", "NUMERIC"):
+    if type_name in ("DECIMAL", "NUMERIC"):
         collation = " COLLATE MYSQL_DECIMAL"
         size = size or "(10,0)"
-    if kind == "ENUM" or kind == "SET":
+    if type_name == "ENUM" or type_name == "SET":
         size = ""
-    declared = DECLARED_BY_TYPE.get(kind, kind)
+    declared = DECLARED_BY_TYPE.get(type_name, type_name)
     return f"{name} {declared}{size}{collation}{rest}".rstrip()
 
 
 def rewrite_create_table(sql: str) -> list[str]:
-    """Return the SQLite statements that a CREATE TABLE stands for.
+    """Translate a CREATE TABLE to SQLite statements.
 
-    Secondary keys become indexes of their own, named after the table,
-    since SQLite's index names are global.
+    Secondary keys become separate indexes whose names contain the table's
+    name, because SQLite's index names are global.
     """
     match = _CREATE.match(sql)
     if match is None:
@@ -152,13 +152,13 @@
     body, indexes = [], []
     for part in parts:
         key = _KEY.match(part)
-        words = part.split(None, 1)[0].upper().split("(")[0]
+        first_word = part.split(None, 1)[0].upper().split("(")[0]
         if key is not None:
             indexes.append(_index(table, key, len(indexes)))
-        elif words == "PRIMARY" and increments:
+        elif first_word == "PRIMARY" and increments:
             # The AUTOINCREMENT column is the primary key already.
             continue
-        elif words in _CONSTRAINT:
+        elif first_word in _CONSTRAINT:
             body.append(part)
         else:
             body.append(rewrite_column(part))
--- a/redwingpost/standin/dialect.py
+++ b/redwingpost/standin/dialect.py
@@ -1,10 +1,10 @@
-"""From a MySQL statement to what SQLite runs.
+"""Translation of MySQL statements to SQLite's dialect.
 
-A statement is scanned once: its literals become parameters, so that
+A statement is scanned once and its literals become parameters, so that
 statements which differ only in values share one *shape*, whose rewriting
-is cached. What isn't the same on every member (``NOW()``, ``UUID()``,
-user variables) is replaced by its value, because replication ships
-statements.
+is cached. Replication transfers statements, so expressions whose value
+differs between members (``NOW()``, ``UUID()``, user variables) are
+replaced by their values.
 """
 
 from typing import Any, NamedTuple
@@ -33,26 +33,30 @@
 
 
 class Statement(NamedTuple):
-    """A statement ready to run: its plan, parameters, stated sleep (s)."""
+    """A statement ready to run: plan, parameters and SLEEP time (s)."""
 
     plan: Plan
     parameters: tuple[Any, ...]
     sleep: float
 
 
-class _Writer:
-    """Collects a shape and its parameters."""
+class _ShapeBuilder:
+    """Collects the pieces of a shape and its parameters.
+
+    ``inline_all`` writes all literals into the shape, ``inline_numbers``
+    only numbers.
+    """
 
     def __init__(self) -> None:
         self.pieces: list[str] = []
         self.parameters: list[Any] = []
         self.sleep = 0.0
-        self.inline = False
-        self.keep_numbers = False
+        self.inline_all = False
+        self.inline_numbers = False
 
-    def value(self, value: Any, number: bool = False) -> None:
-        """Add a literal, as a parameter where the place allows it."""
-        inline = self.inline or (number and self.keep_numbers)
+    def add_literal(self, value: Any, number: bool = False) -> None:
+        """Add a literal, as a parameter unless it has to be inlined."""
+        inline = self.inline_all or (number and self.inline_numbers)
         if inline and not (isinstance(value, str) and "\0" in value):
             self.pieces.append(str(value) if number else quote(value))
             return
@@ -60,49 +64,55 @@
         self.parameters.append(value)
 
 
-def _call_end(tokens: list[Token], place: int) -> tuple[int, str]:
-    """Return the place after a call's brackets and the text in them."""
-    start = place + 1
+def _call_end(tokens: list[Token], index: int) -> tuple[int, str]:
+    """Return the index of a call's closing bracket and its argument text.
+
+    If no call starts at ``index``, return ``index`` and an empty text.
+    """
+    start = index + 1
     while start < len(tokens) and tokens[start].kind == "space":
         start += 1
     if start >= len(tokens) or tokens[start].text != "(":
-        return place, ""
+        return index, ""
     inside = []
     for end in range(start + 1, len(tokens)):
         if tokens[end].text == ")":
             return end, "".join(inside).strip()
         inside.append(tokens[end].text)
-    return place, ""
+    return index, ""
 
 
-def _word(
-    tokens: list[Token], place: int, writer: _Writer, values: SessionValues
+def _write_word(
+    tokens: list[Token],
+    index: int,
+    builder: _ShapeBuilder,
+    values: SessionValues,
 ) -> int:
-    """Write a word or the value of a function; return its last place."""
-    text = tokens[place].text
+    """Write a word or a function's value; return the last index used."""
+    text = tokens[index].text
     upper = text.upper()
     if upper == "FROM":
-        writer.inline = False
+        builder.inline_all = False
     elif upper == "BY":
-        writer.keep_numbers = True
+        builder.inline_numbers = True
     elif upper == "LIMIT":
-        writer.keep_numbers = False
+        builder.inline_numbers = False
     elif upper == "SLEEP":
-        end, inside = _call_end(tokens, place)
-        if end > place:
-            writer.sleep += _seconds(inside)
-            writer.pieces.append("0")
+        end, inside = _call_end(tokens, index)
+        if end > index:
+            builder.sleep += _seconds(inside)
+            builder.pieces.append("0")
             return end
     elif upper in VALUES_BY_FUNCTION:
-        end, inside = _call_end(tokens, place)
+        end, inside = _call_end(tokens, index)
         plain = not inside or inside.isdigit()
-        if plain and (end > place or upper in WITHOUT_BRACKETS):
+        if plain and (end > index or upper in WITHOUT_BRACKETS):
             digits = int(inside) if inside else 0
             found = VALUES_BY_FUNCTION[upper](values, min(digits, 6))
-            writer.value(found)
+            builder.add_literal(found)
             return end
-    writer.pieces.append(text)
-    return place
+    builder.pieces.append(text)
+    return index
 
 
 def _seconds(text: str) -> float:
@@ -113,7 +123,7 @@
 
 
 def translate(sql: str, values: SessionValues) -> Statement:
-    """Return a statement in SQLite's dialect.
+    """Translate a statement to SQLite's dialect.
 
     Examples
     --------
@@ -127,77 +137,79 @@
     """
     tokens = scan(sql.strip().rstrip(";").rstrip())
     first = next((t.text.upper() for t in tokens if t.kind == "word"), "")
-    writer = _Writer()
-    writer.inline = first in READS or first in DEFINITIONS
-    place = 0
-    while place < len(tokens):
-        place = _token(tokens, place, writer, values, first) + 1
-    shape = "".join(writer.pieces).strip()
+    builder = _ShapeBuilder()
+    builder.inline_all = first in READS or first in DEFINITIONS
+    index = 0
+    while index < len(tokens):
+        index = _write_token(tokens, index, builder, values, first) + 1
+    shape = "".join(builder.pieces).strip()
     return Statement(
-        plan_shape(first, shape), tuple(writer.parameters), writer.sleep
+        plan_shape(first, shape), tuple(builder.parameters), builder.sleep
     )
 
 
-def _token(
+def _write_token(
     tokens: list[Token],
-    place: int,
-    writer: _Writer,
+    index: int,
+    builder: _ShapeBuilder,
     values: SessionValues,
     first: str,
 ) -> int:
-    """Write one token; return the place of the last one used."""
-    kind, text = tokens[place]
+    """Write one token; return the index of the last token used."""
+    kind, text = tokens[index]
     if kind == "string":
-        writer.value(string_value(text))
+        builder.add_literal(string_value(text))
     elif kind == "bytes":
-        writer.value(bytes_value(text))
+        builder.add_literal(bytes_value(text))
     elif kind == "hex":
-        writer.value(hex_value(text))
+        builder.add_literal(hex_value(text))
     elif kind == "number":
-        _number(tokens, place, writer)
+        _write_number(tokens, index, builder)
     elif kind == "uservar":
-        writer.value(values.variables.get(text[1:].lower()))
-        _name_variable(tokens, place, writer, first)
+        builder.add_literal(values.variables.get(text[1:].lower()))
+        _name_variable(tokens, index, builder, first)
     elif kind == "sysvar":
-        writer.value(system_value(text, values))
-        _name_variable(tokens, place, writer, first)
+        builder.add_literal(system_value(text, values))
+        _name_variable(tokens, index, builder, first)
     elif kind == "word":
         if first in DEFINITIONS:
-            writer.pieces.append(text)
+            builder.pieces.append(text)
         else:
-            return _word(tokens, place, writer, values)
+            return _write_word(tokens, index, builder, values)
     elif kind != "introducer":
-        writer.pieces.append(text)
-    return place
+        builder.pieces.append(text)
+    return index
 
 
-def _number(tokens: list[Token], place: int, writer: _Writer) -> None:
-    """Write a number whole; a sign before a long one belongs to it.
+def _write_number(
+    tokens: list[Token], index: int, builder: _ShapeBuilder
+) -> None:
+    """Write a number without loss; join a sign to a long number.
 
-    Minus a parameter would be computed as a float: the smallest BIGINT
-    and a DECIMAL of twenty digits would come back rounded.
+    SQLite would negate a parameter as a float, so that the smallest
+    BIGINT and a DECIMAL of twenty digits would be read back rounded.
     """
-    value = number_value(tokens[place].text)
-    if isinstance(value, str) and _has_sign(tokens, place):
-        writer.pieces.pop()
+    value = number_value(tokens[index].text)
+    if isinstance(value, str) and _has_sign(tokens, index):
+        builder.pieces.pop()
         value = f"-{value}"
     if isinstance(value, str) and value.lstrip("-").isdigit():
-        writer.pieces.append(value)
+        builder.pieces.append(value)
     else:
-        writer.value(value, number=True)
+        builder.add_literal(value, number=True)
 
 
-def _has_sign(tokens: list[Token], place: int) -> bool:
-    if place < 1 or tokens[place - 1].text != "-":
+def _has_sign(tokens: list[Token], index: int) -> bool:
+    if index < 1 or tokens[index - 1].text != "-":
         return False
-    before = (t for t in reversed(tokens[: place - 1]) if t.kind != "space")
+    before = (t for t in reversed(tokens[: index - 1]) if t.kind != "space")
     return next(before, Token("space", "")).text in ("(", ",", "=", "<", ">")
 
 
 def _name_variable(
-    tokens: list[Token], place: int, writer: _Writer, first: str
+    tokens: list[Token], index: int, builder: _ShapeBuilder, first: str
 ) -> None:
-    """Name a selected variable's column after it, as MySQL does."""
-    rest = (t.text for t in tokens[place + 1 :] if t.kind != "space")
+    """Name the column of a selected variable after it, as MySQL does."""
+    rest = (t.text for t in tokens[index + 1 :] if t.kind != "space")
     if first == "SELECT" and next(rest, ",") == ",":
-        writer.pieces.append(f" AS `{tokens[place].text}`")
+        builder.pieces.append(f" AS `{tokens[index].text}`")
--- a/redwingpost/standin/functions.py
+++ b/redwingpost/standin/functions.py
@@ -1,4 +1,4 @@
-"""MySQL functions and collations that a store's connections know."""
+"""MySQL functions and collations for the store's connections."""
 
 from decimal import Decimal, InvalidOperation
 from hashlib import md5, sha1
@@ -23,7 +23,7 @@
     return str(text)[-count:] if count else ""
 
 
-def _choose(condition: Any, yes: Any, no: Any) -> Any:
+def _if(condition: Any, yes: Any, no: Any) -> Any:
     return yes if condition else no
 
 
@@ -39,12 +39,12 @@
     return None if text is None else md5(str(text).encode()).hexdigest()
 
 
-def _size(text: Any) -> int | None:
+def _char_length(text: Any) -> int | None:
     return None if text is None else len(str(text))
 
 
 def compare_decimals(left: str, right: str) -> int:
-    """Order two decimals kept as text.
+    """Compare two decimals that are stored as text.
 
     Examples
     --------
@@ -64,17 +64,17 @@
     ("CONCAT", -1, _concat),
     ("LEFT", 2, _left),
     ("RIGHT", 2, _right),
-    ("IF", 3, _choose),
+    ("IF", 3, _if),
     ("REGEXP", 2, _regexp),
     ("SHA1", 1, _sha1),
     ("MD5", 1, _md5),
-    ("CHAR_LENGTH", 1, _size),
-    ("CHARACTER_LENGTH", 1, _size),
+    ("CHAR_LENGTH", 1, _char_length),
+    ("CHARACTER_LENGTH", 1, _char_length),
 )
 
 
 def install_functions(connection: Connection) -> None:
-    """Teach a connection MySQL's functions and the decimal collation."""
+    """Register MySQL's functions and the decimal collation."""
     for name, count, function in _FUNCTIONS:
         connection.create_function(name, count, function, deterministic=True)
     connection.create_collation("MYSQL_DECIMAL", compare_decimals)
--- a/redwingpost/standin/literals.py
+++ b/redwingpost/standin/literals.py
@@ -1,4 +1,4 @@
-"""MySQL literals: scanning a statement, unescaping, quoting again."""
+"""MySQL literals: scanning statements, unescaping and quoting."""
 
 from re import DOTALL, VERBOSE, compile as compile_pattern
 from typing import Any, NamedTuple
@@ -35,14 +35,14 @@
 
 
 class Token(NamedTuple):
-    """A piece of a statement; ``kind`` is the name of its group."""
+    """A token of a statement; ``kind`` is its group's name in `TOKEN`."""
 
     kind: str
     text: str
 
 
 def scan(sql: str) -> list[Token]:
-    """Split a statement into tokens, comments left out.
+    """Split a statement into tokens; a comment becomes a space.
 
     Examples
     --------
@@ -60,7 +60,7 @@
 
 
 def unescape(body: str, quote: str = "'") -> str:
-    r"""Return the value of a quoted literal's body.
+    r"""Return the value of a quoted literal's body, without its quotes.
 
     Examples
     --------
@@ -80,10 +80,10 @@
 
 
 def string_value(token: str) -> str | bytes:
-    """Return what a string literal stands for.
+    """Return the value of a string literal.
 
-    Drivers send bytes inside a quoted literal; those that aren't UTF-8
-    arrive as surrogates and are bytes again here.
+    Drivers send bytes inside quoted literals; a literal that isn't UTF-8
+    arrives with surrogates and is converted back to bytes here.
     """
     text = unescape(token[1:-1], token[0])
     if text.isascii():
@@ -96,13 +96,13 @@
 
 
 def bytes_value(token: str) -> bytes:
-    """Return what a ``_binary'…'`` literal stands for."""
+    """Return the value of a ``_binary'…'`` literal."""
     body = token[token.index("'") + 1 : -1]
     return unescape(body).encode(errors="surrogateescape")
 
 
 def hex_value(token: str) -> bytes:
-    """Return what ``x'…'`` or ``0x…`` stands for."""
+    """Return the value of a literal ``x'…'`` or ``0x…``."""
     digits = token[2:-1] if token[1] == "'" else token[2:]
     if len(digits) % 2:
         digits = "0" + digits
@@ -110,7 +110,7 @@
 
 
 def number_value(token: str) -> int | float | str:
-    """Return a number; one with a point stays text, so no digit is lost."""
+    """Return a number's value, as text where a number would lose digits."""
     if token.isdigit():
         value = int(token)
         return value if value < 2**63 else token
--- a/redwingpost/standin/mysql_errors.py
+++ b/redwingpost/standin/mysql_errors.py
@@ -1,4 +1,4 @@
-"""MySQL's error numbers for what a member's store refuses."""
+"""MySQL's error numbers for errors of a member's store."""
 
 from sqlite3 import Error as StoreError
 
@@ -15,7 +15,7 @@
 CHECK_FAILED = 3819
 FOREIGN_KEY = 1452
 
-#: Part of the store's message -> MySQL's number; the first that fits.
+#: Part of the store's message -> MySQL's number; the first match counts.
 _NUMBER_BY_MESSAGE = (
     ("UNIQUE constraint", DUPLICATE_KEY),
     ("NOT NULL constraint", NOT_NULL),
@@ -36,14 +36,14 @@
 
 
 class MemberError(MysqlError):
-    """An error that a member answers with, by MySQL's number."""
+    """An error answer of a member, with MySQL's error number."""
 
     def __init__(self, number: int, message: str) -> None:
         super().__init__(message, number)
 
 
 def read_only() -> MemberError:
-    """Return the error of a member that takes no writes (not run)."""
+    """Return the error of a member that refuses writes, unexecuted."""
     return MemberError(
         READ_ONLY,
         "The MySQL server is running with the --read-only option so it"
@@ -52,7 +52,7 @@
 
 
 def lock_timeout() -> MemberError:
-    """Return the error of a write that waited too long for its turn."""
+    """Return the error of a write that timed out on the writer lock."""
     return MemberError(
         LOCK_WAIT_TIMEOUT,
         "Lock wait timeout exceeded; try restarting transaction",
@@ -60,7 +60,7 @@
 
 
 def from_store(error: Exception) -> MemberError:
-    """Return MySQL's error for one of the store's.
+    """Translate an error of the store to MySQL's.
 
     Examples
     --------
@@ -71,15 +71,15 @@
     message = str(error)
     for part, number in _NUMBER_BY_MESSAGE:
         if part in message:
-            return MemberError(number, _words(number, message))
+            return MemberError(number, _mysql_message(number, message))
     number = SYNTAX if isinstance(error, StoreError) else 1105
     return MemberError(number, message)
 
 
-def _words(number: int, message: str) -> str:
-    place = message.rpartition(": ")[2]
+def _mysql_message(number: int, message: str) -> str:
+    name = message.rpartition(": ")[2]
     if number == DUPLICATE_KEY:
-        return f"Duplicate entry for key '{place}'"
+        return f"Duplicate entry for key '{name}'"
     if number == NO_SUCH_TABLE:
-        return f"Table '{place}' doesn't exist"
+        return f"Table '{name}' doesn't exist"
     return message
--- a/redwingpost/standin/plans.py
+++ b/redwingpost/standin/plans.py
@@ -1,8 +1,8 @@
-"""Shapes of statements: how each runs on the store.
+"""Plans: how the store runs each shape of a statement.
 
-A shape is a statement whose literals are parameters. MySQL's forms that
-the store lacks (ON DUPLICATE KEY UPDATE, INSERT IGNORE, FOR UPDATE,
-TRUNCATE) are rewritten here, once for each shape.
+A shape is a statement whose literals are parameters. MySQL's clauses that
+SQLite lacks (ON DUPLICATE KEY UPDATE, INSERT IGNORE, FOR UPDATE, TRUNCATE)
+are rewritten here, once for each shape.
 """
 
 from functools import lru_cache
@@ -17,11 +17,12 @@
 
 
 class Plan(NamedTuple):
-    """How a shape runs.
+    """How the store runs a shape.
 
-    ``statements`` are in SQLite's dialect; ``probe`` is the same insert
-    with OR IGNORE, which tells an ON DUPLICATE KEY UPDATE's inserts from
-    its updates. ``kind`` is the first word.
+    ``kind`` is the statement's first word; ``statements`` are in SQLite's
+    dialect. For an ON DUPLICATE KEY UPDATE ``probe`` is the same insert
+    with OR IGNORE, which counts the rows that would be inserted and not
+    updated.
     """
 
     kind: str
@@ -45,7 +46,7 @@
 
 @lru_cache(maxsize=4096)
 def plan_shape(first: str, shape: str) -> Plan:
-    """Return how a shape runs; cached, for most statements repeat."""
+    """Return the plan of a shape; cached because most shapes repeat."""
     if first in READS:
         return _plan_read(first, shape)
     if first in WRITES:
@@ -55,13 +56,13 @@
     return Plan(first, (shape,))
 
 
-def _common(shape: str) -> str:
+def _rewrite_common(shape: str) -> str:
     shape = shape.replace("<=>", " IS ").replace("&&", " AND ")
-    return sub(r"(?i)\bLIMIT\s+(\?|\d+)\s*,\s*(\?|\d+)", _limit, shape)
+    return sub(r"(?i)\bLIMIT\s+(\?|\d+)\s*,\s*(\?|\d+)", _rewrite_limit, shape)
 
 
-def _limit(match) -> str:
-    # SQLite knows "LIMIT offset, count" too; parameters keep their order.
+def _rewrite_limit(match) -> str:
+    # SQLite supports "LIMIT offset, count" too; the order is the same.
     return f"LIMIT {match[1]}, {match[2]}"
 
 
@@ -71,7 +72,9 @@
         shape = shape[: locking.start()]
     exclusive = locking is not None and "UPDATE" in locking.group().upper()
     shape = sub(r"(?i)\bFROM\s+DUAL\b", "", shape)
-    return Plan(first, (_common(shape),), locks=exclusive, answers=True)
+    return Plan(
+        first, (_rewrite_common(shape),), locks=exclusive, answers=True
+    )
 
 
 def _plan_write(first: str, shape: str) -> Plan:
@@ -85,7 +88,7 @@
     shape = sub(r"(?i)\(\s*\)\s*VALUES\s*\(\s*\)", "DEFAULT VALUES", shape)
     match = _DUPLICATE.search(shape)
     if match is None:
-        return Plan(first, (_common(shape),))
+        return Plan(first, (_rewrite_common(shape),))
     insert, updates = shape[: match.start()], shape[match.end() :]
     updates = sub(
         r"(?i)\bVALUES\s*\(\s*([^)]+?)\s*\)", r"excluded.\1", updates
@@ -106,18 +109,20 @@
         return Plan(first, ())
     statements = rewrite_create_table(shape)
     if first == "DROP":
-        statements = [_drop(shape)]
+        statements = [_rewrite_drop(shape)]
     if first == "RENAME":
         renamed = sub(r"(?i)^RENAME\s+TABLE\s+", "ALTER TABLE ", shape)
         statements = [sub(r"(?i)\s+TO\s+", " RENAME TO ", renamed)]
     return Plan(first, tuple(statements), temporary=temporary)
 
 
-def _drop(shape: str) -> str:
+def _rewrite_drop(shape: str) -> str:
     shape = sub(r"(?i)^DROP\s+TEMPORARY\s+", "DROP ", shape)
-    return sub(r"(?i)^(DROP\s+INDEX\s+\S+)\s+ON\s+(\S+)$", _drop_index, shape)
+    return sub(
+        r"(?i)^(DROP\s+INDEX\s+\S+)\s+ON\s+(\S+)$", _rewrite_drop_index, shape
+    )
 
 
-def _drop_index(match) -> str:
+def _rewrite_drop_index(match) -> str:
     label = match[1].split()[-1].strip("`")
     return f"DROP INDEX `{match[2].strip('`')}__{label}`"
--- a/redwingpost/standin/platform.py
+++ b/redwingpost/standin/platform.py
@@ -55,13 +55,13 @@
     DecodeError, ValidationError, KeyError, TypeError, ValueError
         If the body is malformed.
     """
-    given = _REQUESTS.decode(body)
+    request = _REQUESTS.decode(body)
     conditions = [
         (str(c["table"]), str(c["key"]), int(c["version"]))
-        for c in given.get("conditions", [])
+        for c in request.get("conditions", [])
     ]
     writes = []
-    for write in given.get("writes", []):
+    for write in request.get("writes", []):
         value = write["value"]
         if value is not None and not isinstance(value, dict):
             raise ValueError("a row's value is an object or null")
@@ -190,15 +190,15 @@
         if answer.status != 200:
             return False
         body = getattr(request, "_read_bytes", None) or b""
-        wanted = self.lost_answers_match
-        if wanted not in request.path and wanted.encode() not in body:
+        match = self.lost_answers_match
+        if match not in request.path and match.encode() not in body:
             return False
         self.lost_answers -= 1
         return True
 
     async def _read(self, request: Request) -> Response:
-        place = request.match_info
-        row = self.tables.read(place["table"], place["key"])
+        path = request.match_info
+        row = self.tables.read(path["table"], path["key"])
         if row is None:
             return Response(status=404)
         return _json(_row(row))
--- a/redwingpost/standin/session.py
+++ b/redwingpost/standin/session.py
@@ -122,8 +122,8 @@
             return await handler(self, text)
         try:
             statement = translate(text, self.values())
-        except (ValueError, RecursionError) as broken:
-            raise MemberError(SYNTAX, str(broken)) from broken
+        except (ValueError, RecursionError) as error:
+            raise MemberError(SYNTAX, str(error)) from error
         return await self._run(statement)
 
     def values(self) -> SessionValues:
@@ -228,12 +228,12 @@
         """Insert or update; count an update as two rows, as MySQL does."""
         plan = statement.plan
         count = plan.probe.count("?")
-        savepoint = self.transaction.store
-        savepoint.execute("SAVEPOINT probe")
-        fresh = savepoint.execute(plan.probe, statement.parameters[:count])
-        inserted = fresh.rowcount
-        savepoint.execute("ROLLBACK TO probe")
-        savepoint.execute("RELEASE probe")
+        store = self.transaction.store
+        store.execute("SAVEPOINT probe")
+        probe_cursor = store.execute(plan.probe, statement.parameters[:count])
+        inserted = probe_cursor.rowcount
+        store.execute("ROLLBACK TO probe")
+        store.execute("RELEASE probe")
         sql = plan.statements[0]
         cursor = self.transaction.execute(sql, statement.parameters)
         self._record_insert_id(plan.kind, sql, cursor)
--- a/redwingpost/standin/session_statements.py
+++ b/redwingpost/standin/session_statements.py
@@ -115,10 +115,10 @@
         session.system_variables[name] = value
 
 
-def _set_autocommit(session: Any, wanted: bool) -> None:
-    if wanted and not session.autocommit:
+def _set_autocommit(session: Any, enabled: bool) -> None:
+    if enabled and not session.autocommit:
         session.transaction.commit()
-    session.autocommit = wanted
+    session.autocommit = enabled
 
 
 def _evaluate(session: Any, expression: str) -> Any:
--- a/redwingpost/standin/settings.py
+++ b/redwingpost/standin/settings.py
@@ -114,14 +114,14 @@
 
 
 def _check(kind: type, name: str, value: Any, location: str) -> None:
-    wanted = kind.__annotations__[name]
-    if wanted is float and isinstance(value, int):
+    expected = kind.__annotations__[name]
+    if expected is float and isinstance(value, int):
         return
-    if wanted in (str, int, float, bool) and type(value) is not wanted:
+    if expected in (str, int, float, bool) and type(value) is not expected:
         raise _InvalidSettings(
-            f"{location}: {name!r} must be of type {wanted.__name__}"
+            f"{location}: {name!r} must be of type {expected.__name__}"
         )
-    if wanted in (int, float) and value < 0:
+    if expected in (int, float) and value < 0:
         raise _InvalidSettings(f"{location}: {name!r} must not be negative")
 
 
--- a/redwingpost/standin/statement_values.py
+++ b/redwingpost/standin/statement_values.py
@@ -1,7 +1,7 @@
-"""What functions and variables in a statement stand for.
+"""Values that replace functions and variables in a statement.
 
-Replication ships statements, so whatever isn't the same on every member
-is replaced by its value before a statement runs.
+Replication transfers statements, so expressions whose value differs
+between members are replaced by their values before a statement runs.
 """
 
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 
 class SessionValues(NamedTuple):
-    """What a statement may ask of its connection."""
+    """Values of the connection that a statement may refer to."""
 
     now: datetime
     last_insert_id: int = 0
@@ -29,7 +29,7 @@
     return text
 
 
-#: Function -> its value, given the digits asked for.
+#: Function -> its value, given the requested fractional digits.
 VALUES_BY_FUNCTION: dict[str, Callable[[SessionValues, int], Any]] = {
     "NOW": _now,
     "CURRENT_TIMESTAMP": _now,
@@ -48,7 +48,7 @@
     "SCHEMA": lambda values, _: values.database or None,
     "VERSION": lambda values, _: "8.0.29-redwing-standin",
 }
-#: Functions that MySQL takes without brackets.
+#: Functions that MySQL accepts without brackets.
 WITHOUT_BRACKETS = ("CURRENT_TIMESTAMP", "CURRENT_DATE", "LOCALTIMESTAMP")
 
 _SYSTEM_VALUES = {
@@ -65,6 +65,6 @@
 
 
 def system_value(text: str, values: SessionValues) -> Any:
-    """Return a system variable, ``@@name``; the session's goes first."""
+    """Return a system variable, ``@@name``; session values take priority."""
     name = text.lower().lstrip("@").rpartition(".")[2]
     return values.system.get(name, _SYSTEM_VALUES.get(name))
--- a/redwingpost/standin/tests/test_group.py
+++ b/redwingpost/standin/tests/test_group.py
@@ -140,8 +140,8 @@
         await rows(primary, "BEGIN")
         await rows(primary, "REDWING RESET")
         self.assertEqual(await rows(primary, "SELECT @seat"), [(None,)])
-        wanted = "SELECT * FROM seats"
-        self.assertEqual(await self.error(primary, wanted), 1146)
+        select = "SELECT * FROM seats"
+        self.assertEqual(await self.error(primary, select), 1146)
 
 
 class LimitsTest(GroupCase):
--- a/redwingpost/standin/tests/test_promotions.py
+++ b/redwingpost/standin/tests/test_promotions.py
@@ -126,8 +126,10 @@
         for index in range(length, 0, -1):
             if first.position_at(index) == second.position_at(index):
                 start = max(1, index - 50)
-                for place in range(start, index + 1):
-                    assert first.entry(place) == second.entry(place), place
+                for checked in range(start, index + 1):
+                    assert first.entry(checked) == second.entry(
+                        checked
+                    ), checked
                 return
 
     async def check_convergence(self):
