--- a/redwingpost/proxy/attempts.py
+++ b/redwingpost/proxy/attempts.py
@@ -20,10 +20,11 @@
 
 
 class Committed(NamedTuple):
-    """The primary committed, or had committed, the write.
+    """The primary has committed the write, now or in an earlier attempt.
 
-    ``position`` has to be confirmed before anybody is told; for a
-    duplicate it is the primary's head, which the record precedes.
+    ``position`` must be confirmed before the caller is answered. For a
+    duplicate it is the end of the primary's log, which follows the
+    idempotency record.
     """
 
     result: StatementResult
@@ -33,14 +34,14 @@
 class Failed(NamedTuple):
     """The attempt failed; ``error`` is the member's own, if any.
 
-    ``position`` is set where the write committed nevertheless.
-    ``on_record`` tells that another copy holds the key.
+    ``position`` is set if the write committed nevertheless.
+    ``key_in_use`` is set if another copy of the write holds the key.
     """
 
     failure: Failure
     error: MemberError | None = None
     position: Position | None = None
-    on_record: bool = False
+    key_in_use: bool = False
 
 
 Outcome = Committed | Failed | Refusal
@@ -55,18 +56,18 @@
     created: int
 
 
-def failed_by(error: TargetError) -> Failed:
-    """Return the failure that a member's error stands for."""
+def failed_from_error(error: TargetError) -> Failed:
+    """Convert a member's error to a failed attempt."""
     member_error = MemberError(error.number, error.message)
     return Failed(failure_of_error(error.number), member_error)
 
 
 async def run_unkeyed(connection: Any, sql: str, timeout: float) -> Outcome:
-    """Run a statement that commits by itself, once."""
+    """Run an autocommit statement once."""
     try:
         result = await connection.execute(sql, timeout)
     except TargetError as error:
-        return failed_by(error)
+        return failed_from_error(error)
     except TargetLost as lost:
         return Failed(Failure.NO_ANSWER if lost.sent else Failure.NOT_SENT)
     return await with_position(connection, result, timeout)
@@ -75,7 +76,7 @@
 async def with_position(
     connection: Any, result: StatementResult, timeout: float
 ) -> Outcome:
-    """Add the position of the commit that just succeeded."""
+    """Add the position of the commit that has just succeeded."""
     try:
         return Committed(result, await connection.position())
     except (TargetError, TargetLost):
@@ -87,32 +88,36 @@
 ) -> Outcome:
     """Run a statement and record its key in the same transaction.
 
-    Nothing of it can last before COMMIT is sent, so that a loss up to
-    there is known to have changed nothing.
+    Nothing is durable before COMMIT is sent, so a connection that is lost
+    earlier has changed nothing.
     """
-    print_ = fingerprint(write.sql)
-    name = (write.organisation, write.idempotency_key)
-    insert = insert_sql(*name, print_, write.created)
+    sql_fingerprint = fingerprint(write.sql)
+    record_key = (write.organisation, write.idempotency_key)
+    insert = insert_sql(*record_key, sql_fingerprint, write.created)
     try:
         await connection.execute("BEGIN", timeout)
-        taken = await _take_key(connection, insert, timeout)
-        if taken is not None:
-            return await _duplicate(connection, write, taken, timeout)
+        key_error = await _insert_key(connection, insert, timeout)
+        if key_error is not None:
+            return await _handle_duplicate(
+                connection, write, key_error, timeout
+            )
         result = await connection.execute(write.sql, timeout)
-        update = update_sql(*name, result.affected_rows, result.last_insert_id)
+        update = update_sql(
+            *record_key, result.affected_rows, result.last_insert_id
+        )
         await connection.execute(update, timeout)
     except TargetError as error:
         await _roll_back(connection)
-        return failed_by(error)
+        return failed_from_error(error)
     except TargetLost:
         return Failed(Failure.COMMIT_NOT_SENT)
     return await _commit(connection, result, timeout)
 
 
-async def _take_key(
+async def _insert_key(
     connection: Any, insert: str, timeout: float
 ) -> TargetError | None:
-    """Insert the record; return the error that says the key is taken."""
+    """Insert the record; return the error if the key is in use."""
     try:
         await connection.execute(insert, timeout)
         return None
@@ -121,7 +126,7 @@
             await connection.execute("ROLLBACK", timeout)
             await connection.execute(create_table_sql(), timeout)
             await connection.execute("BEGIN", timeout)
-            return await _take_key(connection, insert, timeout)
+            return await _insert_key(connection, insert, timeout)
         if error.number == _DUPLICATE_ENTRY:
             return error
         if failure_of_error(error.number) is Failure.LOCK_WAIT:
@@ -129,27 +134,31 @@
         raise
 
 
-async def _duplicate(
-    connection: Any, write: KeyedWrite, taken: TargetError, timeout: float
+async def _handle_duplicate(
+    connection: Any, write: KeyedWrite, key_error: TargetError, timeout: float
 ) -> Outcome:
-    """Answer a copy; one that fails has run all the same, elsewhere."""
+    """Answer a duplicate from the record of the original write.
+
+    A connection that is lost here means an unknown outcome, because the
+    original may have run.
+    """
     try:
-        return await _answer_duplicate(connection, write, taken, timeout)
+        return await _answer_from_record(connection, write, key_error, timeout)
     except TargetLost:
         return Failed(Failure.NO_ANSWER)
 
 
-async def _answer_duplicate(
-    connection: Any, write: KeyedWrite, taken: TargetError, timeout: float
+async def _answer_from_record(
+    connection: Any, write: KeyedWrite, key_error: TargetError, timeout: float
 ) -> Outcome:
     await connection.execute("ROLLBACK", timeout)
-    if taken.number != _DUPLICATE_ENTRY:
-        return failed_by(taken)._replace(on_record=True)
-    # The head is read after the record was seen committed, so it covers
-    # the record.
-    name = (write.organisation, write.idempotency_key)
-    found = await connection.execute(select_sql(*name), timeout)
-    record = decode_record(*name, found.rows[0]) if found.rows else None
+    if key_error.number != _DUPLICATE_ENTRY:
+        return failed_from_error(key_error)._replace(key_in_use=True)
+    # The end of the log is read after the committed record, so that its
+    # position covers the record.
+    record_key = (write.organisation, write.idempotency_key)
+    found = await connection.execute(select_sql(*record_key), timeout)
+    record = decode_record(*record_key, found.rows[0]) if found.rows else None
     answer = resolve_duplicate(record, fingerprint(write.sql))
     if answer.refusal is not None:
         return answer.refusal
@@ -166,10 +175,10 @@
     try:
         await connection.execute("COMMIT", timeout)
     except TargetError as error:
-        return failed_by(error)
+        return failed_from_error(error)
     except TargetLost as lost:
-        lost_at = Failure.NO_ANSWER if lost.sent else Failure.COMMIT_NOT_SENT
-        return Failed(lost_at)
+        failure = Failure.NO_ANSWER if lost.sent else Failure.COMMIT_NOT_SENT
+        return Failed(failure)
     return await with_position(connection, result, timeout)
 
 
--- a/redwingpost/proxy/directory.py
+++ b/redwingpost/proxy/directory.py
@@ -1,7 +1,7 @@
-"""What a proxy knows of groups: configuration, members, primaries.
+"""Configuration, members and primaries of the groups, as the proxy has it.
 
-Views come from the VM's agent and from the members' own answers; the
-higher term wins, whoever brings it.
+Views come from the VM's agent and from the members' own status; the one
+with the highest term applies, whatever its source.
 """
 
 from collections.abc import Callable
@@ -12,18 +12,18 @@
 
 
 class Directory:
-    """The proxy's picture of groups and members."""
+    """Groups, their members and their newest views."""
 
     def __init__(self) -> None:
         self.configuration: Configuration | None = None
         self.version = 0
         self.views_by_group: dict[str, GroupView] = {}
-        #: Called with each view that is news.
-        self.on_view: list[Callable[[GroupView], None]] = []
+        #: Called with each view that changed the directory.
+        self.view_listeners: list[Callable[[GroupView], None]] = []
         self._addresses_by_member: dict[str, MemberAddress] = {}
 
     def configure(self, configuration: Configuration, version: int) -> None:
-        """Take a configuration into use."""
+        """Apply a configuration."""
         self.configuration = configuration
         self.version = version
         self._addresses_by_member = {
@@ -39,7 +39,7 @@
         return self.configuration.groups_by_name.get(name)
 
     def address(self, member: str) -> MemberAddress | None:
-        """Return where a member listens."""
+        """Return the address that a member listens on."""
         return self._addresses_by_member.get(member)
 
     @property
@@ -48,28 +48,28 @@
         return self._addresses_by_member
 
     def is_draining(self, member: str) -> bool:
-        """Say whether a member takes no new work."""
+        """Return whether a member is draining and gets no new work."""
         return (
             self.configuration is not None
             and member in self.configuration.draining_members
         )
 
     def observe(self, view: GroupView) -> bool:
-        """Take in a view; True if it changed anything.
+        """Store a view; return whether it changed anything.
 
-        A view of a lower term is an old message: following it would
-        send writes to a primary that has been replaced.
+        A view with a lower term is outdated: applying it would send
+        writes to a primary that has been replaced.
         """
         known = self.views_by_group.get(view.group)
         if known is not None and not _is_newer(view, known):
             return False
         self.views_by_group[view.group] = view
-        for call in self.on_view:
-            call(view)
+        for listener in self.view_listeners:
+            listener(view)
         return True
 
     def observe_status(self, group: str, status: MemberStatus) -> bool:
-        """Learn from a member's own answer who leads its group."""
+        """Store the view that a primary's own status implies."""
         if status.role != "primary":
             return False
         view = GroupView(
@@ -85,14 +85,14 @@
         return self.views_by_group.get(group)
 
     def primary(self, group: str) -> MemberAddress | None:
-        """Return the group's primary, None while none is known."""
+        """Return the group's primary, or None while none is known."""
         view = self.views_by_group.get(group)
         if view is None or not view.primary:
             return None
         return self.address(view.primary)
 
     def replicas(self, group: str) -> tuple[MemberAddress, ...]:
-        """Return the members of a group but its primary."""
+        """Return the members of a group except its primary."""
         found = self.group(group)
         if found is None:
             return ()
--- a/redwingpost/proxy/gate.py
+++ b/redwingpost/proxy/gate.py
@@ -1,15 +1,15 @@
-"""Admission at the proxy's door: the organisation's rate."""
+"""Admission of statements within the organisation's rate."""
 
 from typing import NamedTuple
 
 from expression import Error, Ok, Result
 
 from redwingpost.core import Refusal, Request
-from redwingpost.proxy.lending import RateDesk
+from redwingpost.proxy.lending import RateLimiter
 
 
 class Permit(NamedTuple):
-    """Leave to send one statement; given back when it is answered."""
+    """Permission to send one statement; ends when it is answered."""
 
     request: Request
 
@@ -19,20 +19,20 @@
 
     Parameters
     ----------
-    desk : RateDesk
+    rate_limiter : RateLimiter
         The organisations' tokens at this VM.
     """
 
-    def __init__(self, desk: RateDesk) -> None:
-        self._desk = desk
+    def __init__(self, rate_limiter: RateLimiter) -> None:
+        self._rate_limiter = rate_limiter
 
     async def enter(self, request: Request) -> Result[Permit, Refusal]:
-        """Admit a statement or say why not.
+        """Admit a statement, or return the refusal.
 
-        Every statement takes one token, whatever its cost: rates are
-        granted in statements. Costs weigh in the queues of the targets.
+        Every statement takes one token whatever its cost, because rates
+        are in statements. Costs count in the queues of the targets.
         """
-        spent = await self._desk.spend(
+        spent = await self._rate_limiter.spend(
             request.organisation, 1.0, request.deadline_at
         )
         if spent.is_error():
@@ -40,4 +40,4 @@
         return Ok(Permit(request))
 
     def leave(self, permit: Permit) -> None:
-        """Note that the statement was answered."""
+        """End a permit: the statement was answered."""
--- a/redwingpost/proxy/lending.py
+++ b/redwingpost/proxy/lending.py
@@ -1,6 +1,7 @@
-"""The organisations' rates at this VM: accounts, loans to and from peers.
+"""Rate limits of the organisations at this VM, with loans between VMs.
 
-The decisions are in `redwingpost.rates`; here they meet the peers.
+`redwingpost.rates` decides what to borrow and lend; this module sends and
+answers the calls between proxies.
 """
 
 from asyncio import Event, Future, create_task, gather, get_running_loop
@@ -41,60 +42,60 @@
 from redwingpost.rates.waiting import WaitQueue, Waiter
 from redwingpost.wire.schema import SCHEMA
 
-#: Seconds that a peer gets for an answer: a slow round trip between
-#: data centres is a few milliseconds, and requests wait meanwhile.
-CALL_S = 0.1
+#: Timeout of a call to a peer (seconds). A slow round trip between data
+#: centres takes a few milliseconds, and requests wait meanwhile.
+CALL_TIMEOUT_S = 0.1
 
-#: Seconds between looks at loans: five in the half second in which a
-#: loan may be renewed.
-KEEP_S = 0.1
+#: Seconds between checks of the loans: five checks in the half second in
+#: which a loan may be renewed.
+LOAN_CHECK_INTERVAL_S = 0.1
 
-#: Shortest sleep of a line that waits for tokens (seconds).
-_SHORTEST_WAIT_S = 0.001
+#: Shortest wait of the task that serves a queue (seconds).
+_MIN_WAIT_S = 0.001
 
-#: Name of the share that holds for every organisation alike.
+#: Name of the share that applies to every organisation.
 ALL_ORGANISATIONS = ""
 
-#: Each lender is asked for this many times its even part of a need, so
-#: that a round still fills it when half of them are dry.
-_OVERASK = 2
+#: Multiple of its even part of the shortfall that each lender is asked
+#: for, so that a round covers it when half of them have no tokens.
+_OVERBORROW_FACTOR = 2
 
 
 class Account:
-    """One organisation at this VM."""
+    """Rate limit state of one organisation at this VM."""
 
     def __init__(self, organisation: str, ledger: Ledger, numbers: Any):
         self.organisation = organisation
         self.ledger = ledger
         self.lender = Lender(ledger, numbers)
         self.borrower = Borrower(ledger, numbers)
-        self.line = WaitQueue(ledger)
+        self.queue = WaitQueue(ledger)
         self.meter = DemandMeter()
-        self.spare_by_vm: dict[str, int] = {}
-        self.dry_rounds = 0
-        self.ask_after = 0.0
-        self.asking = False
+        self.spare_parts_by_vm: dict[str, int] = {}
+        self.empty_rounds = 0
+        self.next_borrow_at = 0.0
+        self.is_borrowing = False
         self.changed = Event()
-        self.pumping = False
+        self.is_serving_queue = False
 
     def needs(self, now: float) -> LoanAmount | None:
-        """Return what to borrow."""
+        """Return the shortfall to borrow, or None."""
         demand = self.meter.per_second(now)
-        return shortfall(self.ledger, demand, self.line.waiting, now)
+        return shortfall(self.ledger, demand, self.queue.waiting, now)
 
     def surplus(self, now: float) -> list[Borrowed]:
-        """Return the loans to give back."""
+        """Return the borrowed loans that are no longer needed."""
         demand = self.meter.per_second(now)
-        return surplus_loans(self.ledger, demand, self.line.waiting, now)
+        return surplus_loans(self.ledger, demand, self.queue.waiting, now)
 
-    def lendable(self, ask: LoanAmount, now: float) -> LoanAmount:
-        """Return what to lend of what a peer asks for."""
+    def lendable(self, request: LoanAmount, now: float) -> LoanAmount:
+        """Return how much of a requested loan can be lent."""
         demand = self.meter.per_second(now)
-        waiting = self.line.waiting
-        return lendable(self.ledger, demand, waiting, ask, now)
+        waiting = self.queue.waiting
+        return lendable(self.ledger, demand, waiting, request, now)
 
-    def wants_back(self, now: float) -> bool:
-        """Say whether this VM needs the parts that it lent."""
+    def needs_lent_parts(self, now: float) -> bool:
+        """Return whether this VM needs the parts that it lent."""
         demand = self.meter.per_second(now)
         wanted = parts_for(demand, self.ledger.bucket.rate)
         return wanted > self.ledger.parts_at(now)
@@ -106,8 +107,8 @@
     address: PeerAddress
 
 
-class RateDesk(Service):
-    """Spends, borrows and lends the rates of all organisations.
+class RateLimiter(Service):
+    """Enforces the organisations' rates, with tokens shared between VMs.
 
     Parameters
     ----------
@@ -149,18 +150,18 @@
         self._tasks: set[Any] = set()
 
     @property
-    def settled(self) -> bool:
-        """Say whether the base parts may be used by now."""
+    def base_parts_usable(self) -> bool:
+        """Return whether the quarantine of the base parts has ended."""
         return self._clock.now() >= self._usable_from
 
-    def hold_whole_rates(self) -> None:
-        """Serve alone: this proxy has no agent and no peers."""
+    def use_full_rates(self) -> None:
+        """Use the full rates; for a proxy without an agent and peers."""
         self._usable_from = self._clock.now()
         self._base = BaseParts(TOTAL_PARTS, self._usable_from, float("inf"))
         self._refresh()
 
-    def take_shares(self, shares: Iterable[FedShare]) -> None:
-        """Take in the base parts that the agent vouches for."""
+    def update_shares(self, shares: Iterable[FedShare]) -> None:
+        """Apply the base parts that the agent sent."""
         for share in shares:
             if share.organisation == ALL_ORGANISATIONS:
                 self._base = BaseParts(
@@ -170,8 +171,8 @@
                 )
         self._refresh()
 
-    def take_peers(self, peers: Iterable[FedPeer]) -> None:
-        """Take in the other VMs."""
+    def update_peers(self, peers: Iterable[FedPeer]) -> None:
+        """Replace the list of other VMs."""
         self._peers_by_vm = {
             peer.address.vm: _Peer(
                 peer.address.vm,
@@ -183,7 +184,7 @@
         }
 
     def configure(self) -> None:
-        """Open an account for each organisation, so that it fills."""
+        """Create every organisation's account, so that its bucket fills."""
         for (
             organisation
         ) in self._directory.configuration.organisations_by_name:
@@ -193,32 +194,32 @@
     async def spend(
         self, organisation: str, cost: float, deadline_at: float
     ) -> Result[None, Refusal]:
-        """Spend tokens, waiting a moment where that helps."""
+        """Spend tokens, waiting briefly if they will be available."""
         now = self._clock.now()
         account = self._account(organisation)
         tokens = round(cost * STATEMENT_MICROTOKENS)
         account.meter.observe(tokens, now)
-        if account.line.spend(tokens, now):
-            self._borrow_ahead(account, now)
+        if account.queue.spend(tokens, now):
+            self._borrow_if_needed(account, now)
             return Ok(None)
         future: Future = get_running_loop().create_future()
-        account.line.add(Waiter(tokens, deadline_at, future))
-        self._borrow_ahead(account, now)
-        self._settle_line(account)
-        if not future.done() and not account.pumping:
-            account.pumping = True
-            self._spawn(self._pump(account))
+        account.queue.add(Waiter(tokens, deadline_at, future))
+        self._borrow_if_needed(account, now)
+        self._resolve_waiters(account)
+        if not future.done() and not account.is_serving_queue:
+            account.is_serving_queue = True
+            self._start_task(self._serve_queue(account))
         try:
             return await future
         finally:
             if not future.done() or future.cancelled():
-                account.line.discard(future)
+                account.queue.discard(future)
 
-    def lend(self, vm: str, organisation: str, ask: LoanAmount) -> Grant:
-        """Answer a peer that asks for a loan."""
+    def lend(self, vm: str, organisation: str, request: LoanAmount) -> Grant:
+        """Grant a peer a loan; its parts are 0 if nothing can be lent."""
         now = self._clock.now()
         account = self._account(organisation)
-        spare = account.lendable(ask, now)
+        spare = account.lendable(request, now)
         grant = account.lender.lend(vm, spare.parts, spare.tokens, now)
         if grant.parts:
             self._account_by_loan[grant.loan] = account
@@ -226,15 +227,18 @@
         return grant
 
     def renew(self, loan: int) -> float:
-        """Answer a peer that renews a loan; 0 asks for it back."""
+        """Renew a peer's loan; return its validity in seconds.
+
+        0 recalls the loan.
+        """
         now = self._clock.now()
         account = self._account_by_loan.get(loan)
         if account is None:
             return 0.0
-        return account.lender.renew(loan, account.wants_back(now), now)
+        return account.lender.renew(loan, account.needs_lent_parts(now), now)
 
     def take_back(self, loan: int, tokens: int) -> None:
-        """Take back a loan that a peer returns."""
+        """Record that a peer returned a loan, with its unspent tokens."""
         account = self._account_by_loan.pop(loan, None)
         if account is not None:
             account.lender.take_back(loan, tokens, self._clock.now())
@@ -243,10 +247,12 @@
     def _account(self, organisation: str) -> Account:
         account = self._accounts_by_organisation.get(organisation)
         if account is None:
-            known = self._directory.configuration.organisations_by_name
-            granted = known[organisation]
+            organisations_by_name = (
+                self._directory.configuration.organisations_by_name
+            )
+            rates = organisations_by_name[organisation]
             now = self._clock.now()
-            ledger = Ledger(granted.rate, granted.burst, now)
+            ledger = Ledger(rates.rate, rates.burst, now)
             ledger.set_base(self._base, now)
             account = Account(organisation, ledger, self._numbers)
             self._accounts_by_organisation[organisation] = account
@@ -256,54 +262,71 @@
         if self._directory.configuration is None:
             return
         now = self._clock.now()
-        known = self._directory.configuration.organisations_by_name
+        organisations_by_name = (
+            self._directory.configuration.organisations_by_name
+        )
         for name, account in self._accounts_by_organisation.items():
-            granted = known.get(name)
-            if granted is not None:
+            rates = organisations_by_name.get(name)
+            if rates is not None:
                 ledger = account.ledger
-                ledger.set_limits(granted.rate, granted.burst, now)
+                ledger.set_limits(rates.rate, rates.burst, now)
             account.ledger.set_base(self._base, now)
 
-    def _borrow_ahead(self, account: Account, now: float) -> None:
-        if account.asking or now < account.ask_after or not self._peers_by_vm:
+    def _borrow_if_needed(self, account: Account, now: float) -> None:
+        if (
+            account.is_borrowing
+            or now < account.next_borrow_at
+            or not self._peers_by_vm
+        ):
             return
         need = account.needs(now)
         if need is None:
             return
-        account.asking = True
-        self._spawn(self._round(account, need))
+        account.is_borrowing = True
+        self._start_task(self._borrow_round(account, need))
 
-    async def _round(self, account: Account, need: LoanAmount) -> None:
-        """Ask several peers at once."""
+    async def _borrow_round(self, account: Account, need: LoanAmount) -> None:
+        """Request loans from several peers concurrently."""
         try:
-            hints = [
+            candidates = [
                 LenderCandidate(
-                    p.vm, p.data_centre, account.spare_by_vm.get(p.vm)
+                    p.vm, p.data_centre, account.spare_parts_by_vm.get(p.vm)
                 )
                 for p in self._peers_by_vm.values()
             ]
-            vms = order_lenders(hints, self._data_centre, account.dry_rounds)
+            vms = order_lenders(
+                candidates, self._data_centre, account.empty_rounds
+            )
             each = LoanAmount(
-                min(need.parts, _OVERASK * need.parts // len(vms) + 1),
-                min(need.tokens, _OVERASK * need.tokens // len(vms) + 1),
+                min(
+                    need.parts, _OVERBORROW_FACTOR * need.parts // len(vms) + 1
+                ),
+                min(
+                    need.tokens,
+                    _OVERBORROW_FACTOR * need.tokens // len(vms) + 1,
+                ),
+            )
+            lent_tokens = await gather(
+                *(self._request_loan(account, v, each) for v in vms)
             )
-            gained = await gather(*(self._ask(account, v, each) for v in vms))
         finally:
-            account.asking = False
+            account.is_borrowing = False
             account.changed.set()
         now = self._clock.now()
-        if sum(gained) > STATEMENT_MICROTOKENS // 2:
-            account.dry_rounds = 0
-            account.ask_after = now
+        if sum(lent_tokens) > STATEMENT_MICROTOKENS // 2:
+            account.empty_rounds = 0
+            account.next_borrow_at = now
         else:
-            account.dry_rounds += 1
-            account.ask_after = now + retry_pause_s(account.dry_rounds)
+            account.empty_rounds += 1
+            account.next_borrow_at = now + retry_pause_s(account.empty_rounds)
 
-    async def _ask(self, account: Account, vm: str, need: LoanAmount) -> int:
-        """Ask one peer; return the micro-tokens that it lent."""
+    async def _request_loan(
+        self, account: Account, vm: str, need: LoanAmount
+    ) -> int:
+        """Request a loan from one peer; return the micro-tokens lent."""
         peer = self._peers_by_vm[vm]
         now = self._clock.now()
-        ask = account.borrower.request(vm, need.parts, need.tokens, now)
+        request = account.borrower.request(vm, need.parts, need.tokens, now)
         answer = await self._clients.call(
             peer.address,
             lambda node: node.lending().lending.borrow(
@@ -313,11 +336,11 @@
                 partsPerMillion=need.parts,
                 microTokens=need.tokens,
             ),
-            CALL_S,
+            CALL_TIMEOUT_S,
         )
         if answer.is_error():
-            account.borrower.cancel(ask.number)
-            account.spare_by_vm[vm] = 0
+            account.borrower.cancel(request.number)
+            account.spare_parts_by_vm[vm] = 0
             return 0
         loan = answer.ok.loan
         grant = Grant(
@@ -326,49 +349,51 @@
             loan.microTokens,
             loan.validMs / 1000,
         )
-        account.spare_by_vm[vm] = grant.parts
-        if not account.borrower.accept(ask.number, grant, self._clock.now()):
+        account.spare_parts_by_vm[vm] = grant.parts
+        if not account.borrower.accept(
+            request.number, grant, self._clock.now()
+        ):
             return 0
-        self._settle_line(account)
+        self._resolve_waiters(account)
         return grant.tokens
 
-    async def _pump(self, account: Account) -> None:
-        """Serve a line until nobody waits."""
+    async def _serve_queue(self, account: Account) -> None:
+        """Serve an organisation's queue until it is empty."""
         try:
-            while len(account.line):
+            while len(account.queue):
                 now = self._clock.now()
-                self._borrow_ahead(account, now)
+                self._borrow_if_needed(account, now)
                 account.changed.clear()
-                wait_s = min(CALL_S, account.line.next_serve_s(now))
+                wait_s = min(CALL_TIMEOUT_S, account.queue.next_serve_s(now))
                 await _wait_until(account.changed, wait_s)
-                self._settle_line(account)
+                self._resolve_waiters(account)
         finally:
-            account.pumping = False
+            account.is_serving_queue = False
 
-    def _settle_line(self, account: Account) -> None:
+    def _resolve_waiters(self, account: Account) -> None:
         now = self._clock.now()
-        for waiter in account.line.serve(now):
-            _answer(waiter.handle, Ok(None))
-        for refused in account.line.refuse(now, account.asking):
+        for waiter in account.queue.serve(now):
+            _set_result(waiter.handle, Ok(None))
+        for refused in account.queue.refuse(now, account.is_borrowing):
             refusal = Refusal(
                 Code.OVER_RATE, retry_after_ms=refused.retry_after_ms
             )
-            _answer(refused.waiter.handle, Error(refusal))
+            _set_result(refused.waiter.handle, Error(refusal))
 
     @Service.task
-    async def _keep_loans(self) -> None:
+    async def _maintain_loans(self) -> None:
         while not self.should_stop:
-            await self.sleep(KEEP_S)
+            await self.sleep(LOAN_CHECK_INTERVAL_S)
             now = self._clock.now()
             for account in self._accounts_by_organisation.values():
                 if account.ledger.borrowed_by_loan:
-                    self._keep(account, now)
-            self._forget_lapsed()
+                    self._maintain_account(account, now)
+            self._drop_lapsed_loans()
 
-    def _keep(self, account: Account, now: float) -> None:
+    def _maintain_account(self, account: Account, now: float) -> None:
         self._give_back(account, account.surplus(now))
         for loan in account.borrower.due_for_renewal(now):
-            self._spawn(self._renew(account, loan))
+            self._start_task(self._renew(account, loan))
 
     async def _renew(self, account: Account, loan: Borrowed) -> None:
         peer = self._peers_by_vm.get(loan.lender)
@@ -380,7 +405,7 @@
             lambda node: node.lending().lending.renew(
                 vm=self._vm, loan=loan.loan
             ),
-            CALL_S,
+            CALL_TIMEOUT_S,
         )
         if answer.is_error():
             return
@@ -395,59 +420,61 @@
         keep = tokens_to_keep(account.meter.per_second(now))
         for loan in loans:
             key = (loan.lender, loan.loan)
-            back = account.borrower.return_loan(key, keep, now)
-            if back is not None:
-                self._spawn(self._send_back(back))
+            loan_return = account.borrower.return_loan(key, keep, now)
+            if loan_return is not None:
+                self._start_task(self._send_return(loan_return))
 
-    async def _send_back(self, back: Any) -> None:
-        peer = self._peers_by_vm.get(back.lender)
+    async def _send_return(self, loan_return: Any) -> None:
+        peer = self._peers_by_vm.get(loan_return.lender)
         if peer is None:
             return
         await self._clients.call(
             peer.address,
             lambda node: node.lending().lending.giveBack(
                 vm=self._vm,
-                loan=back.loan,
-                partsPerMillion=back.parts,
-                microTokens=back.tokens,
+                loan=loan_return.loan,
+                partsPerMillion=loan_return.parts,
+                microTokens=loan_return.tokens,
             ),
-            CALL_S,
+            CALL_TIMEOUT_S,
         )
 
-    def _forget_lapsed(self) -> None:
+    def _drop_lapsed_loans(self) -> None:
         for loan, account in list(self._account_by_loan.items()):
             if loan not in account.ledger.lent_by_loan:
                 del self._account_by_loan[loan]
 
-    def _spawn(self, work: Any) -> None:
+    def _start_task(self, work: Any) -> None:
         task = create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
 
-    def _ended(self, task: Any) -> None:
+    def _on_task_done(self, task: Any) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             logger.opt(exception=task.exception()).error("lending failed")
 
     async def on_stop(self) -> None:
-        """End what is under way; loans lapse by themselves."""
+        """Cancel the calls in progress; loans expire by themselves."""
         for task in tuple(self._tasks):
             task.cancel()
 
 
 class LendingServer(SCHEMA.Lending.Server):
-    """Answers other proxies.
+    """Answers the lending calls of other proxies.
 
     Parameters
     ----------
-    desk : RateDesk
-        This VM's accounts.
+    rate_limiter : RateLimiter
+        This VM's rate limiter.
     directory : Directory
-        To refuse organisations that aren't configured.
+        Configuration; loans for unknown organisations are refused.
     """
 
-    def __init__(self, desk: RateDesk, directory: Directory) -> None:
-        self._desk = desk
+    def __init__(
+        self, rate_limiter: RateLimiter, directory: Directory
+    ) -> None:
+        self._rate_limiter = rate_limiter
         self._directory = directory
 
     async def borrow(
@@ -460,20 +487,20 @@
         _context: Any,
         **kwargs: Any,
     ) -> None:
-        """Lend what can be spared."""
+        """Lend what this VM doesn't need itself."""
         configuration = self._directory.configuration
         if configuration is None:
             return
         if organisation not in configuration.organisations_by_name:
             return
-        ask = LoanAmount(partsPerMillion, microTokens)
-        grant = self._desk.lend(vm, organisation, ask)
+        request = LoanAmount(partsPerMillion, microTokens)
+        grant = self._rate_limiter.lend(vm, organisation, request)
         loan = _context.results.init("loan")
         loan.loan = grant.loan
         loan.organisation = organisation
         loan.partsPerMillion = grant.parts
         loan.microTokens = grant.tokens
-        # Rounded down: the borrower's loan must lapse first.
+        # Rounded down: the loan must expire at the borrower first.
         loan.validMs = int(grant.valid_s * 1000)
 
     async def giveBack(
@@ -485,23 +512,23 @@
         _context: Any,
         **kwargs: Any,
     ) -> None:
-        """Take a loan back."""
-        self._desk.take_back(loan, microTokens)
+        """Accept a returned loan."""
+        self._rate_limiter.take_back(loan, microTokens)
 
     async def renew(
         self, vm: str, loan: int, _context: Any, **kwargs: Any
     ) -> None:
-        """Renew a loan, or ask for it back."""
-        _context.results.validMs = int(self._desk.renew(loan) * 1000)
+        """Renew a loan, or recall it."""
+        _context.results.validMs = int(self._rate_limiter.renew(loan) * 1000)
 
 
-def _answer(future: Future, result: Result) -> None:
+def _set_result(future: Future, result: Result) -> None:
     if not future.done():
         future.set_result(result)
 
 
 async def _wait_until(event: Event, seconds: float) -> None:
     try:
-        await wait_for(event.wait(), max(_SHORTEST_WAIT_S, seconds))
+        await wait_for(event.wait(), max(_MIN_WAIT_S, seconds))
     except TimeoutError:
         return
--- a/redwingpost/proxy/parts.py
+++ b/redwingpost/proxy/parts.py
@@ -10,8 +10,8 @@
 from redwingpost.proxy.gate import Gate
 from redwingpost.proxy.metrics import ProxyMetrics
 from redwingpost.proxy.reads import Reader
-from redwingpost.proxy.status_board import StatusBoard
-from redwingpost.proxy.targets import Targets
+from redwingpost.proxy.status_poller import StatusPoller
+from redwingpost.proxy.targets import TargetPool
 from redwingpost.proxy.transactions import Transactions
 from redwingpost.proxy.writes import Writer
 from redwingpost.sessions import TokenMinter
@@ -24,9 +24,9 @@
     keys: KeyRing
     tokens: TokenMinter
     directory: Directory
-    board: StatusBoard
+    status_poller: StatusPoller
     gate: Gate
-    pool: Targets
+    pool: TargetPool
     reader: Reader
     writer: Writer
     transactions: Transactions
--- a/redwingpost/proxy/reads.py
+++ b/redwingpost/proxy/reads.py
@@ -1,4 +1,4 @@
-"""Serve reads: a replica proven fresh, else the primary, confirmed."""
+"""Run reads on a replica that is fresh enough, or on the primary."""
 
 from contextlib import nullcontext
 from typing import NamedTuple
@@ -23,30 +23,30 @@
     TargetError,
     TargetLost,
 )
-from redwingpost.proxy.attempts import Failed, failed_by
+from redwingpost.proxy.attempts import Failed, failed_from_error
 from redwingpost.proxy.confirm import Confirmer
 from redwingpost.proxy.directory import Directory
 from redwingpost.proxy.replica_choice import ReplicaChoice
-from redwingpost.proxy.targets import AdmissionRefused, Targets
-from redwingpost.proxy.status_board import StatusBoard
+from redwingpost.proxy.targets import AdmissionRefused, TargetPool
+from redwingpost.proxy.status_poller import StatusPoller
 from redwingpost.proxy.view_watch import ViewWatch
 from redwingpost.retries.budget import RetryBudget
 from redwingpost.retries.table import Action, Failure, RequestClass, next_step
 from redwingpost.scheduling.long_jobs import shape_of
 
-#: Seconds to wait for a replica's proof that a primary still leads.
+#: Timeout for a replica's proof that the primary is current (seconds).
 _CONFIRM_S = 1.0
 
-#: Pauses before a read is tried again while no other primary is known;
-#: see ``redwingpost.proxy.writes`` for the grounds (seconds).
+#: Pauses before a read is tried again while no other primary is known
+#: (seconds); ``redwingpost.proxy.writes`` gives the reasons.
 FIRST_PAUSE_S = 0.05
 LONGEST_PAUSE_S = 0.4
 
 
 class ReadAnswer(NamedTuple):
-    """A read's result, who served it and until when (seconds).
+    """Result of a read, its member and the time it ended (seconds).
 
-    ``follows`` is a position the answer is known to include.
+    ``follows`` is a position that the result is known to include.
     """
 
     result: StatementResult
@@ -56,52 +56,52 @@
 
 
 class Reader:
-    """Chooses a member for a read and runs it there.
+    """Chooses a member for each read and runs the read there.
 
     Parameters
     ----------
-    directory, board, pool, confirmer, clock, views
-        The proxy's parts.
+    directory, status_poller, pool, confirmer, clock, views
+        Shared components of the proxy.
     data_centre : str
-        Where this VM is.
+        This VM's data centre.
     """
 
     def __init__(
         self,
         directory: Directory,
-        board: StatusBoard,
-        pool: Targets,
+        status_poller: StatusPoller,
+        pool: TargetPool,
         confirmer: Confirmer,
         clock: Clock,
         views: ViewWatch,
         data_centre: str = "",
     ) -> None:
         self._choice = ReplicaChoice(
-            directory, board, pool, clock, data_centre
+            directory, status_poller, pool, clock, data_centre
         )
         self._budget = RetryBudget()
         self._directory = directory
         self._views = views
-        self._board = board
+        self._status_poller = status_poller
         self._pool = pool
         self._confirmer = confirmer
         self._clock = clock
 
     async def read(
-        self, request: Request, sql: str, stay_on: str = ""
+        self, request: Request, sql: str, sticky_member: str = ""
     ) -> Result[ReadAnswer, Refusal | MemberError]:
-        """Run a read where its freshness is proven.
+        """Run a read on a member that is proven fresh enough.
 
-        A read that met a member that is lost, full or replaced goes to
-        another one, or waits for the next primary, until its deadline.
+        If a member is lost, full or replaced, the read goes to another
+        one or waits for the next primary, until its deadline.
 
         Parameters
         ----------
         request : Request
             The read.
         sql : str
-            Its text.
-        stay_on : str
+            The statement's text.
+        sticky_member : str
             See `ReplicaChoice.choose`.
         """
         self._budget.earn()
@@ -109,10 +109,10 @@
         while True:
             term = self._views.term(request.group)
             view = self._directory.view(request.group)
-            if view is not None and _is_lost(request, view.history):
+            if view is not None and _is_position_lost(request, view.history):
                 return Error(Refusal(Code.POSITION_LOST))
             try:
-                outcome = await self._attempt(request, sql, stay_on)
+                outcome = await self._attempt(request, sql, sticky_member)
             except AdmissionRefused as refused:
                 return Error(refused.refusal)
             if isinstance(outcome, ReadAnswer):
@@ -124,26 +124,28 @@
             if step.action is Action.ANSWER:
                 return Error(Refusal(step.code, retry_after_ms=200))
             pause = min(FIRST_PAUSE_S * 2**attempts, LONGEST_PAUSE_S, left)
-            await self._views.wait_beyond(request.group, term, pause)
+            await self._views.wait_for_later_term(request.group, term, pause)
             attempts += 1
 
     async def _attempt(
-        self, request: Request, sql: str, stay_on: str
+        self, request: Request, sql: str, sticky_member: str
     ) -> ReadAnswer | Failed:
-        tried: set[str] = set()
+        tried_members: set[str] = set()
         while True:
-            address = await self._choice.choose(request, tried, stay_on)
+            address = await self._choice.choose(
+                request, tried_members, sticky_member
+            )
             if address is None:
                 return await self._read_primary(request, sql)
             outcome = await self._run(address, request, sql)
             if _is_final(outcome) or not self._may_retry(outcome):
                 return outcome
-            tried.add(address.member)
+            tried_members.add(address.member)
 
     def _may_retry(self, failed: Failed) -> bool:
-        # Without a budget a member's death would double the load of the
-        # others just when they have to carry its part. What wasn't sent
-        # has loaded nobody.
+        # Without a budget, the loss of a member would double the load of
+        # the others just when they take over its share. A read that
+        # wasn't sent caused no load.
         return failed.failure is Failure.NOT_SENT or self._budget.spend()
 
     async def _read_primary(
@@ -152,9 +154,10 @@
         primary = self._directory.primary(request.group)
         if primary is None:
             return Failed(Failure.NOT_SENT)
-        # A primary that was cut off and replaced still answers reads; a
-        # session of unknown position would miss its newest writes there.
-        # A replica of the same term proves that no other led meanwhile.
+        # A primary that was cut off and replaced still answers reads, and
+        # a session whose position is unknown would miss its newest writes
+        # there. A replica that confirms the same term proves that there
+        # was no other primary meanwhile.
         term = self._views.term(request.group)
         outcome = await self._run(primary, request, sql, term)
         if isinstance(outcome, Failed):
@@ -171,28 +174,28 @@
         sql: str,
         term: int | None = None,
     ) -> ReadAnswer | Failed:
-        """Read on a member; ``term`` is given for the primary."""
-        known = self._board.applied(address.member)
+        """Run a read on a member; ``term`` is set for the primary."""
+        known_position = self._status_poller.applied(address.member)
         remaining = request.deadline_at - self._clock.now()
         try:
             connection = await self._pool.acquire(
                 address, request, shape_of(sql)
             )
         except TargetError as error:
-            return failed_by(error)
+            return failed_from_error(error)
         except TargetLost:
             return Failed(Failure.NOT_SENT)
-        guarded = nullcontext()
+        abort_guard = nullcontext()
         if term is not None:
-            guarded = self._views.guard(connection, request.group, term)
+            abort_guard = self._views.guard(connection, request.group, term)
         try:
-            with guarded:
+            with abort_guard:
                 result = await self._execute(connection, sql, remaining)
         except TargetLost as lost:
             return Failed(Failure.NO_ANSWER if lost.sent else Failure.NOT_SENT)
         except TargetError as error:
-            return failed_by(error)
-        follows = max(known, request.after or ZERO_POSITION)
+            return failed_from_error(error)
+        follows = max(known_position, request.after or ZERO_POSITION)
         return ReadAnswer(result, address.member, self._clock.now(), follows)
 
     async def _execute(
@@ -207,12 +210,12 @@
             await self._pool.release(connection, clean)
 
 
-def _is_lost(request: Request, history: History) -> bool:
+def _is_position_lost(request: Request, history: History) -> bool:
     return bool(request.after) and is_dropped(request.after, history)
 
 
 def _is_final(outcome: ReadAnswer | Failed) -> bool:
-    """Say whether another member would answer no better."""
+    """Return whether no other member could give a better answer."""
     if isinstance(outcome, ReadAnswer):
         return True
     return outcome.failure is Failure.OTHER_ERROR
--- a/redwingpost/proxy/service.py
+++ b/redwingpost/proxy/service.py
@@ -32,20 +32,20 @@
 from redwingpost.proxy.caller import Caller
 from redwingpost.proxy.confirm import Confirmer
 from redwingpost.proxy.drain import Drain, DrainStep
-from redwingpost.proxy.control_lines import ControlLines
+from redwingpost.proxy.control_connections import ControlConnections
 from redwingpost.proxy.directory import Directory
 from redwingpost.proxy.feed import AgentFeed, FedPeer
 from redwingpost.proxy.forward_server import ForwardServer
 from redwingpost.proxy.forwarder import Forwarder, Homes
 from redwingpost.proxy.gate import Gate
 from redwingpost.proxy.http import StatusServer
-from redwingpost.proxy.lending import LendingServer, RateDesk
+from redwingpost.proxy.lending import LendingServer, RateLimiter
 from redwingpost.proxy.metrics import ProxyMetrics
 from redwingpost.proxy.parts import Parts
 from redwingpost.proxy.reads import Reader
 from redwingpost.proxy.session import StatementSession
-from redwingpost.proxy.status_board import StatusBoard
-from redwingpost.proxy.targets import Targets
+from redwingpost.proxy.status_poller import StatusPoller
+from redwingpost.proxy.targets import TargetPool
 from redwingpost.proxy.transactions import Transactions
 from redwingpost.proxy.view_watch import ViewWatch
 from redwingpost.proxy.writes import Writer
@@ -118,18 +118,20 @@
         dialler = MySQLTargetDialler(
             settings.targets.user, settings.targets.password
         )
-        self.lines = ControlLines(dialler)
-        self.pool = Targets(
+        self.control_connections = ControlConnections(dialler)
+        self.pool = TargetPool(
             self.directory,
             dialler,
             self.clock,
             lambda _group: settings.proxy.homes,
         )
-        self.directory.on_view.append(self._leave_old_primary)
-        self.confirmer = Confirmer(self.directory, self.lines, self.clock)
+        self.directory.view_listeners.append(self._leave_old_primary)
+        self.confirmer = Confirmer(
+            self.directory, self.control_connections, self.clock
+        )
         self.tls = TlsContexts(settings.tls)
         self.clients = PeerClients(settings.vm.ip, self.tls, self.clock)
-        self.desk = RateDesk(
+        self.rate_limiter = RateLimiter(
             settings.vm.name,
             settings.vm.data_centre,
             self.directory,
@@ -141,9 +143,9 @@
         self.homes = Homes(
             _own_address(settings), self.directory, settings.proxy.homes
         )
-        self.board = StatusBoard(
+        self.status_poller = StatusPoller(
             self.directory,
-            self.lines,
+            self.control_connections,
             self.clock,
             self.homes.is_home,
             loop=self.loop,
@@ -162,12 +164,12 @@
             keys=self.keys,
             tokens=TokenMinter(settings.fleet.token_secrets),
             directory=self.directory,
-            board=self.board,
+            status_poller=self.status_poller,
             pool=self.pool,
-            gate=Gate(self.desk),
+            gate=Gate(self.rate_limiter),
             reader=Reader(
                 self.directory,
-                self.board,
+                self.status_poller,
                 self.pool,
                 self.confirmer,
                 self.clock,
@@ -193,7 +195,9 @@
         self.interfaces.forward = ForwardServer(
             self._make_session, self.add_future
         )
-        self.interfaces.lending = LendingServer(self.desk, self.directory)
+        self.interfaces.lending = LendingServer(
+            self.rate_limiter, self.directory
+        )
         self.peers = PeerServer(
             PeerAddress(settings.vm.ip, settings.proxy.peer_port),
             self.interfaces,
@@ -211,7 +215,7 @@
         self.feed.on_withdrawn = self._cut_withdrawn
         self.feed.on_configured = self._note_configured
         self.feed.on_peers = self._take_peers
-        self.feed.on_shares = self.desk.take_shares
+        self.feed.on_shares = self.rate_limiter.update_shares
         self.feed.on_drain = self._leave
         # Accepted connections also carry forwarded statements, which are
         # callers' traffic: control counts at the side that dialled it.
@@ -233,18 +237,18 @@
         if not view.primary:
             return
         for address in self.directory.replicas(view.group):
-            self.pool.give_up(address)
+            self.pool.fail_waiting(address)
 
     def _note_configured(self) -> None:
         self._configured_at = min(self._configured_at, self.clock.now())
-        self.desk.configure()
+        self.rate_limiter.configure()
 
     def _make_forwarder(self) -> Forwarder:
         return Forwarder(self.homes, self.forward_clients, self.clock)
 
     def _take_peers(self, peers: tuple[FedPeer, ...]) -> None:
         """Learn the other VMs; silent and draining ones are no homes."""
-        self.desk.take_peers(peers)
+        self.rate_limiter.update_peers(peers)
         since = self.clock.now() - HOME_SILENCE_S
         self.homes.set_vms(
             tuple(
@@ -263,7 +267,7 @@
         """Say whether the balancer may send callers here."""
         if self._drain is not None or self.directory.configuration is None:
             return False
-        if not self.desk.settled:
+        if not self.rate_limiter.base_parts_usable:
             return False
         # A VM that comes back would refuse writes until it has heard of
         # each group's primary; the balancer must not send callers before.
@@ -296,8 +300,8 @@
             self._load_file(Path(self.settings.proxy.configuration_file))
         elif self.settings.agent.peer_port:
             await self.add_runtime_dependency(self.feed)
-        await self.add_runtime_dependency(self.desk)
-        await self.add_runtime_dependency(self.board)
+        await self.add_runtime_dependency(self.rate_limiter)
+        await self.add_runtime_dependency(self.status_poller)
         await self.add_runtime_dependency(self.callers)
         await self.add_runtime_dependency(self.http)
         logger.bind(vm=self.settings.vm.name).info(
@@ -311,7 +315,7 @@
         if parsed.is_error():
             raise ValueError(parsed.error.describe())
         self.directory.configure(parsed.ok, version=1)
-        self.desk.hold_whole_rates()
+        self.rate_limiter.use_full_rates()
         self.keys.grant(parsed.ok)
         self.keys.confirm(self.clock.now())
         self._note_configured()
@@ -357,7 +361,7 @@
         """Close what is open."""
         await self.confirmer.close()
         await self.pool.close()
-        await self.lines.close()
+        await self.control_connections.close()
 
     async def on_shutdown(self) -> None:
         """Close what the parts needed until their own end."""
--- a/redwingpost/proxy/session.py
+++ b/redwingpost/proxy/session.py
@@ -28,7 +28,7 @@
     read_use,
 )
 from redwingpost.proxy.parts import Parts
-from redwingpost.proxy.transactions import Transaction, is_over
+from redwingpost.proxy.transactions import Transaction, ends_transaction
 from redwingpost.scheduling.long_jobs import shape_of
 
 Answer = Result[StatementResult, Refusal | MemberError]
@@ -308,8 +308,8 @@
 
     async def _read(self, request: Request, sql: str) -> Answer:
         seen = self._state(request).seen_by_group.get(request.group)
-        stay_on = seen.member if seen else ""
-        answer = await self._parts.reader.read(request, sql, stay_on)
+        sticky_member = seen.member if seen else ""
+        answer = await self._parts.reader.read(request, sql, sticky_member)
         if answer.is_error():
             self._note_lost(request, answer.error)
             return answer
@@ -362,7 +362,7 @@
         answer = await self._parts.transactions.execute(
             self._transaction, request, sql
         )
-        if answer.is_error() and is_over(answer.error):
+        if answer.is_error() and ends_transaction(answer.error):
             self._transaction = None
         elif answer.is_ok() and answer.ok.last_insert_id:
             self.caller.last_insert_id = answer.ok.last_insert_id
@@ -435,8 +435,8 @@
     def _settle(self, state: CallerSessionState) -> None:
         """Cover what the session's last reads saw by known positions."""
         for group, seen in tuple(state.seen_by_group.items()):
-            board = self._parts.board
-            position = board.applied_since(seen.member, seen.until)
+            status_poller = self._parts.status_poller
+            position = status_poller.applied_since(seen.member, seen.until)
             if position is not None:
                 state.advance(group, position)
                 del state.seen_by_group[group]
--- a/redwingpost/proxy/targets.py
+++ b/redwingpost/proxy/targets.py
@@ -1,8 +1,8 @@
-"""Give statements a slot and a connection at a member, fairly.
+"""Admission and connection pools for the members.
 
-Which statement starts, waits or is refused is decided by
-``redwingpost.admission.controller.AdmissionController``, one per member;
-here are the futures of those who wait, and the warm connections.
+One ``redwingpost.admission.controller.AdmissionController`` per member
+decides which statement starts, waits or is refused. This module holds the
+futures of the waiting statements and the idle connections.
 """
 
 from asyncio import Future, get_running_loop, wait_for
@@ -35,20 +35,21 @@
 from redwingpost.scheduling.fair import Flow
 from redwingpost.scheduling.long_jobs import JobLengths
 
-#: Seconds to open a connection; one takes about 12 ms on a calm day.
+#: Timeout for opening a connection (seconds); without load one takes
+#: about 12 ms.
 DIAL_TIMEOUT_S = 1.0
 
-#: When a caller may come back whose deadline passed in the queue.
+#: Retry delay for a caller whose deadline passed in the queue.
 _EXPIRED_RETRY_MS = 100
 
 
 class AdmissionRefused(Exception):
-    """A request that gets no slot; nothing was sent.
+    """A request was refused a slot; nothing was sent to a member.
 
     Parameters
     ----------
     refusal : Refusal
-        What to tell the caller.
+        The answer for the caller.
     """
 
     def __init__(self, refusal: Refusal) -> None:
@@ -56,7 +57,7 @@
         self.refusal = refusal
 
 
-class _Counter:
+class _MemberPool:
     """One member's admission controller and connections."""
 
     def __init__(self, address: MemberAddress, connections: int) -> None:
@@ -64,27 +65,27 @@
         self.connections = connections
         self.admission = AdmissionController(connections)
         self.idle: deque[TargetConnection] = deque()
-        self.used: set[Any] = set()
+        self.in_use: set[Any] = set()
         self.pin_waiters: deque[Future] = deque()
 
 
-class _Use(NamedTuple):
-    """What a connection that is out is used for."""
+class _Checkout(NamedTuple):
+    """Use of a connection that is checked out of its pool."""
 
-    counter: _Counter
+    member_pool: _MemberPool
     ticket: int
     shape: str
     started_at: float
     pinned: bool
 
 
-class Targets:
-    """Slots and connections at all members.
+class TargetPool:
+    """Slots and pooled connections of all members.
 
     Parameters
     ----------
     directory : Directory
-        Groups, kinds and organisations.
+        Configuration of groups, request kinds and organisations.
     dialler : TargetDialler
         Opens connections.
     clock : Clock
@@ -104,198 +105,215 @@
         self._dialler = dialler
         self._clock = clock
         self._count_vms = count_vms
-        self._counters_by_address: dict[MemberAddress, _Counter] = {}
-        self._uses_by_connection: dict[Any, _Use] = {}
+        self._member_pools_by_address: dict[MemberAddress, _MemberPool] = {}
+        self._checkouts_by_connection: dict[Any, _Checkout] = {}
         self._futures_by_ticket: dict[int, Future] = {}
         self._tickets = count(1)
-        self.lengths = JobLengths()
+        self.job_lengths = JobLengths()
 
     def load(self, address: MemberAddress) -> MemberLoad:
-        """Return how busy a member is."""
-        return self._counter(address).admission.load(self._clock.now())
+        """Return the load of a member."""
+        return self._member_pool(address).admission.load(self._clock.now())
 
     def warm_connections(self, address: MemberAddress) -> int:
-        """Return how many connections to a member are idle."""
-        return len(self._counter(address).idle)
+        """Return the number of idle connections to a member."""
+        return len(self._member_pool(address).idle)
 
     def take_probe(self, address: MemberAddress) -> bool:
-        """Say whether a read may try a member that was left."""
-        breaker = self._counter(address).admission.breaker
+        """Return whether a read may probe a member with an open breaker."""
+        breaker = self._member_pool(address).admission.breaker
         return breaker.take_probe(self._clock.now())
 
     def is_long(self, request: Request, shape: str) -> bool:
-        """Say whether a request counts as a long job."""
+        """Return whether a request counts as a long job."""
         kind = self._directory.configuration.kind(request.marks.kind)
-        return kind.long or self.lengths.is_long(shape)
+        return kind.long or self.job_lengths.is_long(shape)
 
     async def acquire(
         self, address: MemberAddress, request: Request, shape: str = ""
     ) -> TargetConnection:
-        """Return a connection with a slot, waiting for its turn.
+        """Return a connection once a slot at the member is free.
 
         Parameters
         ----------
         address : MemberAddress
             The member.
         request : Request
-            Whose turn it is to be.
+            The request that needs the slot.
         shape : str, optional
-            A read's shape, by which long jobs are learned; writes have
-            none.
+            Shape of a read, under which its run time is recorded to
+            detect long jobs; empty for writes.
 
         Raises
         ------
         AdmissionRefused
-            If the request can't be served in its time.
+            If the request can't be served before its deadline.
         TargetLost
             If no connection could be opened; nothing was sent.
         TargetError
             If the member refused the connection.
         """
-        counter = self._counter(address)
+        member_pool = self._member_pool(address)
         ticket = next(self._tickets)
-        await self._take_turn(counter, ticket, request, shape)
+        await self._admit(member_pool, ticket, request, shape)
         try:
-            connection = await self._connect(counter)
+            connection = await self._connect(member_pool)
         except (TargetError, TargetLost):
-            self._wake(counter.admission.fail(self._clock.now(), ticket))
+            self._wake(member_pool.admission.fail(self._clock.now(), ticket))
             raise
         except BaseException:
-            self._wake(counter.admission.abandon(self._clock.now(), ticket))
+            self._wake(
+                member_pool.admission.abandon(self._clock.now(), ticket)
+            )
             raise
-        counter.used.add(connection)
-        self._uses_by_connection[connection] = _Use(
-            counter, ticket, shape, self._clock.now(), pinned=False
+        member_pool.in_use.add(connection)
+        self._checkouts_by_connection[connection] = _Checkout(
+            member_pool, ticket, shape, self._clock.now(), pinned=False
         )
         return connection
 
     def pin(self, connection: TargetConnection) -> None:
-        """Keep a connection for a transaction, without its slot."""
-        use = self._uses_by_connection[connection]
-        self._uses_by_connection[connection] = use._replace(pinned=True)
-        self._wake(use.counter.admission.pin(self._clock.now(), use.ticket))
+        """Pin a connection to a transaction and free its slot."""
+        checkout = self._checkouts_by_connection[connection]
+        self._checkouts_by_connection[connection] = checkout._replace(
+            pinned=True
+        )
+        self._wake(
+            checkout.member_pool.admission.pin(
+                self._clock.now(), checkout.ticket
+            )
+        )
 
     async def wait_to_pin(
         self, address: MemberAddress, request: Request
     ) -> None:
-        """Wait until one more transaction may be open at a member.
+        """Wait until the member may have one more open transaction.
 
         Raises
         ------
         AdmissionRefused
-            If none ended before the request's deadline.
+            If no transaction ended before the request's deadline.
         """
-        counter = self._counter(address)
-        while not counter.admission.may_pin:
+        member_pool = self._member_pool(address)
+        while not member_pool.admission.may_pin:
             left = request.deadline_at - self._clock.now()
-            ended = get_running_loop().create_future()
-            counter.pin_waiters.append(ended)
+            unpinned = get_running_loop().create_future()
+            member_pool.pin_waiters.append(unpinned)
             try:
-                await wait_for(ended, max(0.0, left))
-            except TimeoutError as late:
+                await wait_for(unpinned, max(0.0, left))
+            except TimeoutError as timed_out:
                 refusal = Refusal(
                     Code.OVER_CAPACITY, retry_after_ms=_EXPIRED_RETRY_MS
                 )
-                raise AdmissionRefused(refusal) from late
+                raise AdmissionRefused(refusal) from timed_out
             finally:
-                if ended in counter.pin_waiters:
-                    counter.pin_waiters.remove(ended)
+                if unpinned in member_pool.pin_waiters:
+                    member_pool.pin_waiters.remove(unpinned)
 
     async def release(self, connection: TargetConnection, clean: bool) -> None:
-        """Give slot and connection back.
+        """Release a connection and its slot.
 
         Parameters
         ----------
         clean : bool
             True if the connection holds no state of its last user.
-            Otherwise it is reset, and closed where the reset isn't
-            proven: a variable or an open transaction would leak into
-            the next caller's work.
+            Otherwise it is reset, and closed unless the reset succeeds:
+            a variable or an open transaction would leak into the next
+            caller's work.
         """
-        use = self._uses_by_connection.pop(connection, None)
-        if use is None:
+        checkout = self._checkouts_by_connection.pop(connection, None)
+        if checkout is None:
             await connection.close()
             return
         ended_at = self._clock.now()
-        counter = use.counter
+        member_pool = checkout.member_pool
         try:
-            over = len(counter.idle) + len(counter.used) > counter.connections
-            if over or not (clean or await connection.reset()):
+            is_surplus = (
+                len(member_pool.idle) + len(member_pool.in_use)
+                > member_pool.connections
+            )
+            if is_surplus or not (clean or await connection.reset()):
                 await connection.close()
         finally:
-            counter.used.discard(connection)
+            member_pool.in_use.discard(connection)
             if connection.usable:
-                counter.idle.append(connection)
-            self._end(use, ended_at)
+                member_pool.idle.append(connection)
+            self._finish(checkout, ended_at)
 
-    def _end(self, use: _Use, ended_at: float) -> None:
-        admission = use.counter.admission
-        if use.pinned:
-            self._unpin(use.counter, ended_at)
+    def _finish(self, checkout: _Checkout, ended_at: float) -> None:
+        admission = checkout.member_pool.admission
+        if checkout.pinned:
+            self._unpin(checkout.member_pool, ended_at)
             return
-        if use.shape:
-            seconds = ended_at - use.started_at
-            self.lengths.observe(
-                use.shape, seconds, admission.service_times.average_s
+        if checkout.shape:
+            seconds = ended_at - checkout.started_at
+            self.job_lengths.observe(
+                checkout.shape, seconds, admission.service_times.average_s
             )
-        group = use.counter.address.group
+        group = checkout.member_pool.address.group
         started = admission.finish(
-            ended_at, use.ticket, lambda key: self._best(group, key)
+            ended_at,
+            checkout.ticket,
+            lambda key: self._fastest_time_s(group, key),
         )
         self._wake(started)
 
     async def drop(self, connection: TargetConnection) -> None:
         """Close a connection whose member didn't answer."""
-        use = self._uses_by_connection.pop(connection, None)
+        checkout = self._checkouts_by_connection.pop(connection, None)
         await connection.close()
-        if use is None:
+        if checkout is None:
             return
-        use.counter.used.discard(connection)
-        admission, now = use.counter.admission, self._clock.now()
-        self._wake(admission.fail(now, use.ticket))
-        if use.pinned:
-            self._unpin(use.counter, now)
+        checkout.member_pool.in_use.discard(connection)
+        admission, now = checkout.member_pool.admission, self._clock.now()
+        self._wake(admission.fail(now, checkout.ticket))
+        if checkout.pinned:
+            self._unpin(checkout.member_pool, now)
 
-    def give_up(self, address: MemberAddress) -> None:
-        """Send all who wait for a member elsewhere; nothing was sent.
+    def fail_waiting(self, address: MemberAddress) -> None:
+        """Fail all statements queued for a member as not sent.
 
-        A primary that was replaced answers nobody; its queue would
-        otherwise be refused one by one as the deadlines pass.
+        They are then retried elsewhere. A replaced primary answers none
+        of them; otherwise each would be refused at its deadline.
         """
-        for ticket in self._counter(address).admission.clear():
+        for ticket in self._member_pool(address).admission.clear():
             lost = TargetLost(sent=False, reason="replaced")
             self._resolve(ticket, lost)
 
     async def close(self) -> None:
         """Close every connection."""
-        for counter in self._counters_by_address.values():
-            for connection in (*counter.idle, *counter.used):
+        for member_pool in self._member_pools_by_address.values():
+            for connection in (*member_pool.idle, *member_pool.in_use):
                 await connection.close()
-            counter.idle.clear()
-            counter.used.clear()
+            member_pool.idle.clear()
+            member_pool.in_use.clear()
 
-    def _counter(self, address: MemberAddress) -> _Counter:
+    def _member_pool(self, address: MemberAddress) -> _MemberPool:
         group = self._directory.group(address.group)
         limit = group.connections if group else 1
         wanted = data_connections(limit, self._count_vms(address.group))
-        counter = self._counters_by_address.get(address)
-        if counter is None:
-            counter = _Counter(address, wanted)
-            self._counters_by_address[address] = counter
-        counter.connections = wanted
-        counter.admission.set_connections(wanted)
-        return counter
-
-    async def _take_turn(
-        self, counter: _Counter, ticket: int, request: Request, shape: str
+        member_pool = self._member_pools_by_address.get(address)
+        if member_pool is None:
+            member_pool = _MemberPool(address, wanted)
+            self._member_pools_by_address[address] = member_pool
+        member_pool.connections = wanted
+        member_pool.admission.set_connections(wanted)
+        return member_pool
+
+    async def _admit(
+        self,
+        member_pool: _MemberPool,
+        ticket: int,
+        request: Request,
+        shape: str,
     ) -> None:
         now = self._clock.now()
-        decision = counter.admission.arrive(
+        decision = member_pool.admission.arrive(
             now,
             Arrival(
                 ticket=ticket,
                 flow=self._flow(request),
-                key=_key(request),
+                key=_service_time_key(request),
                 cost=request.cost,
                 is_long=self.is_long(request, shape),
                 deadline_at=request.deadline_at,
@@ -307,28 +325,34 @@
         if decision.refusal is not None:
             raise AdmissionRefused(decision.refusal)
         if not decision.starts:
-            await self._wait(counter, ticket, request.deadline_at - now)
+            await self._wait_for_slot(
+                member_pool, ticket, request.deadline_at - now
+            )
 
-    async def _wait(
-        self, counter: _Counter, ticket: int, seconds: float
+    async def _wait_for_slot(
+        self, member_pool: _MemberPool, ticket: int, seconds: float
     ) -> None:
         future = get_running_loop().create_future()
         self._futures_by_ticket[ticket] = future
         try:
             await wait_for(future, seconds)
-        except TimeoutError as late:
-            self._wake(counter.admission.abandon(self._clock.now(), ticket))
+        except TimeoutError as timed_out:
+            self._wake(
+                member_pool.admission.abandon(self._clock.now(), ticket)
+            )
             refusal = Refusal(
                 Code.DEADLINE_PASSED, retry_after_ms=_EXPIRED_RETRY_MS
             )
-            raise AdmissionRefused(refusal) from late
+            raise AdmissionRefused(refusal) from timed_out
         except (AdmissionRefused, TargetLost):
             raise
         except BaseException:
-            # The turn may have come in the same moment; the
-            # controller forgets the ticket in either state, or a slot
-            # would be lost.
-            self._wake(counter.admission.abandon(self._clock.now(), ticket))
+            # The slot may have been granted at the same moment. abandon()
+            # removes a waiting or a running ticket; without it the slot
+            # would leak.
+            self._wake(
+                member_pool.admission.abandon(self._clock.now(), ticket)
+            )
             raise
         finally:
             self._futures_by_ticket.pop(ticket, None)
@@ -348,38 +372,40 @@
 
     def _flow(self, request: Request) -> Flow:
         configuration = self._directory.configuration
-        known = configuration.organisations_by_name.get(request.organisation)
+        organisation = configuration.organisations_by_name.get(
+            request.organisation
+        )
         return Flow(
             organisation=request.organisation,
             kind=request.marks.kind,
-            organisation_weight=known.weight if known else 1.0,
+            organisation_weight=organisation.weight if organisation else 1.0,
             kind_weight=configuration.kind(request.marks.kind).weight,
         )
 
-    async def _connect(self, counter: _Counter) -> TargetConnection:
-        while counter.idle:
-            connection = counter.idle.pop()
+    async def _connect(self, member_pool: _MemberPool) -> TargetConnection:
+        while member_pool.idle:
+            connection = member_pool.idle.pop()
             if connection.usable:
                 return connection
-        return await self._dialler.dial(counter.address, DIAL_TIMEOUT_S)
+        return await self._dialler.dial(member_pool.address, DIAL_TIMEOUT_S)
 
-    def _unpin(self, counter: _Counter, now: float) -> None:
-        self._wake(counter.admission.unpin(now))
-        if counter.pin_waiters and not counter.pin_waiters[0].done():
-            counter.pin_waiters.popleft().set_result(None)
+    def _unpin(self, member_pool: _MemberPool, now: float) -> None:
+        self._wake(member_pool.admission.unpin(now))
+        if member_pool.pin_waiters and not member_pool.pin_waiters[0].done():
+            member_pool.pin_waiters.popleft().set_result(None)
 
-    def _best(self, group: str, key: str) -> float | None:
+    def _fastest_time_s(self, group: str, key: str) -> float | None:
         times = (
-            counter.admission.limit.typical(key)
-            for address, counter in self._counters_by_address.items()
+            member_pool.admission.limit.typical(key)
+            for address, member_pool in self._member_pools_by_address.items()
             if address.group == group
         )
         known = [seconds for seconds in times if seconds is not None]
         return min(known, default=None)
 
 
-def _key(request: Request) -> str:
-    """Return the kind of statement whose times can be compared."""
+def _service_time_key(request: Request) -> str:
+    """Return the key of statements with comparable service times."""
     if request.statement_class is StatementKind.READ:
         return f"read {request.marks.kind}"
     keyed = "keyed" if request.marks.idempotency_key else "plain"
--- a/redwingpost/proxy/tests/test_forwarding.py
+++ b/redwingpost/proxy/tests/test_forwarding.py
@@ -59,7 +59,7 @@
         # first 32 VMs, and the callers of all others refused.
         self._notes(self.other, "nobody's")
         members = self.site.group.members_by_name.keys()
-        boards = [proxy.board for proxy in self.site.proxies]
+        boards = [proxy.status_poller for proxy in self.site.proxies]
         self.site.wait_until(lambda: not boards[self.other].polled & members)
         self.assertEqual(boards[self.home].polled & members, members)
 
--- a/redwingpost/proxy/tests/test_hostile_statements.py
+++ b/redwingpost/proxy/tests/test_hostile_statements.py
@@ -1,11 +1,11 @@
-"""Statements made to keep the proxy busy.
+"""Tests of statements that are built to exhaust the proxy's CPU.
 
-A caller with a valid key sends one long statement: blanks, or
-quotes and comments that never close. A pattern that looks at the rest
-again for each of them takes hours, and since one loop serves everyone,
-all other callers of the VM get no answer meanwhile. With patterns that
-are linear the whole table takes a moment; a quadratic one doesn't end
-within the run of the tests.
+A caller with a valid key sends one long statement of blanks, or of quotes
+and comments that are never closed. A regular expression that scans the
+rest of the text again for each of them takes hours, and all callers of
+the VM share one event loop, so no other caller gets an answer meanwhile.
+Linear patterns finish the whole table quickly; a quadratic one doesn't
+finish within the test run.
 """
 
 from unittest import TestCase
@@ -24,7 +24,7 @@
 
 
 class State:
-    """A connection's state as local answers need it."""
+    """Connection state that local answers read."""
 
     autocommit = True
     group = "catalogue-1"
@@ -36,8 +36,8 @@
         return "token"
 
 
-def hostile():
-    """Return statements by what is hostile in them."""
+def hostile_statements():
+    """Return statements by the name of their attack."""
     blanks = " " * SIZE
     return {
         "blanks": blanks,
@@ -61,9 +61,9 @@
 
 
 class HostileStatementsTest(TestCase):
-    def test_every_reader_comes_to_an_end(self):
-        for what, sql in hostile().items():
-            with self.subTest(what=what):
+    def test_every_parser_finishes(self):
+        for case, sql in hostile_statements().items():
+            with self.subTest(case=case):
                 classify(sql)
                 split_placeholders(sql)
                 read_marks(sql, {})
@@ -71,7 +71,7 @@
                 apply_set(sql, State())
                 read_use(sql)
 
-    def test_what_does_not_close_hides_nothing(self):
+    def test_unclosed_text_hides_no_statement(self):
         table = [
             ("SELECT 1 /* ; DROP TABLE seats", StatementKind.REFUSED),
             ("SELECT 1 /*! ; DROP TABLE seats */", StatementKind.REFUSED),
--- a/redwingpost/proxy/tests/test_withdrawal.py
+++ b/redwingpost/proxy/tests/test_withdrawal.py
@@ -1,4 +1,4 @@
-"""Tests of keys withdrawn, and of stops, while callers are connected."""
+"""Tests of withdrawn keys and planned stops with connected callers."""
 
 from threading import Thread
 from unittest import TestCase
@@ -25,7 +25,7 @@
         self.proxy = self.site.proxies[0]
 
     def connect(self, organisation=PUNO, autocommit=True):
-        """Return a caller's connection."""
+        """Return a connection of a caller."""
         connection = connect(
             host=self.proxy.settings.vm.ip,
             port=self.site.port(),
@@ -37,7 +37,7 @@
         return connection
 
     def withdraw(self, organisation):
-        """Withdraw an organisation's key, as the agent's feed does."""
+        """Withdraw an organisation's key like the agent's feed."""
         key_hash = hash_key(KEYS_BY_ORGANISATION[organisation])
         keys = frozenset([Withdrawal(organisation, key_hash)])
 
@@ -47,10 +47,10 @@
         self.site.call(take())
 
     def test_a_withdrawn_key_loses_its_open_transaction(self):
-        # A caller whose key is withdrawn has a transaction open and
-        # falls silent. Its locks must not keep the others waiting, its
-        # half-done work must not show, and its next request is refused,
-        # on the connection it has and on a new one.
+        # A key is withdrawn while a caller has an open transaction and
+        # sends nothing more. Its locks must not block other callers, its
+        # uncommitted work must not be visible, and the next request is
+        # refused on every connection with that key.
         setup = self.connect()
         setup.cursor().execute("CREATE TABLE stock (id INT PRIMARY KEY)")
         held = self.connect(autocommit=False)
@@ -68,8 +68,8 @@
             )
 
     def test_a_planned_stop_cuts_no_request(self):
-        # The VM is replaced while a statement runs. The caller gets its
-        # whole answer; only then do connections end.
+        # The VM is replaced while a statement runs. The caller must get
+        # the whole answer before the connections are closed.
         connection = self.connect()
         answers = []
 
--- a/redwingpost/proxy/tests/test_writes.py
+++ b/redwingpost/proxy/tests/test_writes.py
@@ -1,4 +1,4 @@
-"""Writes and transactions through proxies while members fail."""
+"""Tests of writes and transactions through proxies as members fail."""
 
 from concurrent.futures import ThreadPoolExecutor
 from unittest import TestCase
@@ -16,14 +16,14 @@
 
 
 class WritesTest(TestCase):
-    """Each test has a group of its own: most of them break it."""
+    """Each test starts its own group, because most of them break it."""
 
     def setUp(self):
         self.site = SmallSite(proxies=2).start()
         self.addCleanup(self.site.stop)
-        self.one = self.connect(0)
-        self.two = self.connect(1)
-        self.run_on(self.one, _CREATE)
+        self.connection_1 = self.connect(0)
+        self.connection_2 = self.connect(1)
+        self.run_on(self.connection_1, _CREATE)
 
     def connect(self, proxy):
         connection = connect(
@@ -67,7 +67,7 @@
         self.member("a").lost_answers = times
 
     def promote(self, letter, others):
-        """Claim, promote and follow as a proposer does, at these only."""
+        """Claim, promote and follow as a proposer does, at these members."""
 
         async def work():
             new = self.member(letter)
@@ -82,68 +82,69 @@
         self.site.call(work())
 
     def test_two_copies_at_two_proxies_run_once(self):
-        """A parish office presses "order" twice; two proxies get it.
+        """Two proxies get the same keyed write at the same time.
 
-        Run twice it would send two kits to the chapel; answered with
-        two different numbers it would confuse the office.
+        The write must run once, and both callers must get the same
+        answer with the same insert id.
         """
         with ThreadPoolExecutor(2) as pool:
             for number in range(10):
                 copies = [
                     pool.submit(self.order, connection, "puno", f"k{number}")
-                    for connection in (self.one, self.two)
+                    for connection in (self.connection_1, self.connection_2)
                 ]
                 first, second = (copy.result() for copy in copies)
                 self.assertEqual(first, second)
         self.assertEqual(self.count("puno"), 10)
 
     def test_key_of_another_statement(self):
-        self.order(self.one, "puno", "k")
-        code = self.code_of(self.order, self.two, "cusco", "k")
+        self.order(self.connection_1, "puno", "k")
+        code = self.code_of(self.order, self.connection_2, "cusco", "k")
         self.assertEqual(code, Code.KEY_REUSED.number)
         self.assertEqual(self.count("cusco"), 0)
 
     def test_answer_of_the_commit_is_lost(self):
-        """The primary commits an order and its answer is lost.
+        """The primary commits a write, but its answer is lost.
 
-        With a key the caller gets the recorded answer; without one it
-        is told that nobody knows, never "not run".
+        With a key the caller gets the recorded answer. Without one it
+        gets "outcome unknown", never "not run".
         """
-        self.order(self.one, "arequipa", "k0")
+        self.order(self.connection_1, "arequipa", "k0")
         self.lose_answers("COMMIT")
-        _, rows, number = self.order(self.one, "puno", "k1")
+        _, rows, number = self.order(self.connection_1, "puno", "k1")
         self.assertEqual((rows, number), (1, 2))
         self.assertEqual(self.count("puno"), 1)
         self.lose_answers("cusco")
-        code = self.code_of(self.order, self.one, "cusco")
+        code = self.code_of(self.order, self.connection_1, "cusco")
         self.assertEqual(code, Code.OUTCOME_UNKNOWN.number)
         self.assertEqual(self.count("cusco"), 1)
 
     def test_keyed_write_waits_for_the_new_primary(self):
-        """The primary dies; another is promoted half a second later.
+        """The primary fails and another is promoted afterwards.
 
-        The order given meanwhile must neither be refused nor doubled.
+        A keyed write sent meanwhile must neither be refused nor run
+        twice.
         """
-        self.order(self.one, "arequipa", "k0")
+        self.order(self.connection_1, "arequipa", "k0")
         self.site.call(self.member("a").die())
         with ThreadPoolExecutor(1) as pool:
-            waiting = pool.submit(self.order, self.one, "puno", "k1")
+            waiting = pool.submit(self.order, self.connection_1, "puno", "k1")
             self.promote("b", "c")
             self.assertEqual(waiting.result()[1], 1)
         self.assertEqual(self.count("puno"), 1)
         self.assertEqual(self.count("arequipa"), 1)
 
     def test_unkeyed_write_over_a_connection_that_died_idle(self):
-        """The primary dies while the proxy's connections lie idle.
+        """The primary fails while the proxy's connections are idle.
 
-        Nothing was sent when the order comes, so it waits for the new
-        primary like any other; "unknown" would mean a call to the
-        office for nothing.
+        Nothing was sent when the write arrives, so it waits for the new
+        primary. The answer "unknown" would make the caller check the
+        outcome for no reason.
         """
-        self.order(self.one, "arequipa")
+        self.order(self.connection_1, "arequipa")
         self.site.call(self.member("a").die())
         with ThreadPoolExecutor(1) as pool:
-            waiting = pool.submit(self.order, self.one, "puno")
+            waiting = pool.submit(self.order, self.connection_1, "puno")
             self.promote("b", "c")
             self.assertEqual(waiting.result()[1], 1)
         self.assertEqual(self.count("puno"), 1)
@@ -151,13 +152,13 @@
     def test_cut_primary_acknowledges_nothing(self):
         """The primary is cut off; the others have promised a new term.
 
-        It still commits. Acknowledged, the order would be lost with its
-        log; here the caller waits, and gets its answer from the new
-        primary, where the write runs once.
+        It still commits. If the write were acknowledged, it would be lost
+        with that primary's log. The caller must get its answer from the
+        new primary, where the write runs once.
         """
-        self.order(self.one, "arequipa", "k0")
+        self.order(self.connection_1, "arequipa", "k0")
         self.promote("b", "c")
-        _, rows, _ = self.order(self.one, "puno", "k1")
+        _, rows, _ = self.order(self.connection_1, "puno", "k1")
         self.assertEqual(rows, 1)
         self.assertEqual(self.count("puno"), 1)
 
@@ -168,63 +169,64 @@
             "/* redwing: deadline_ms=400 */ "
             "INSERT INTO orders (parish) VALUES ('puno')"
         )
-        code = self.code_of(self.run_on, self.one, sql)
+        code = self.code_of(self.run_on, self.connection_1, sql)
         self.assertEqual(code, Code.NOT_CONFIRMED.number)
 
     def test_transaction_ends_in_rollback(self):
-        """The primary dies in the middle of a transaction.
+        """The primary fails in the middle of a transaction.
 
-        Half of an enrolment must not stay, and the secretary has to
-        learn that the whole of it is undone.
+        No part of the transaction may remain, and the caller must get
+        the answer that all of it was rolled back.
         """
-        self.run_on(self.one, "BEGIN")
-        self.order(self.one, "puno")
+        self.run_on(self.connection_1, "BEGIN")
+        self.order(self.connection_1, "puno")
         self.site.call(self.member("a").die())
-        code = self.code_of(self.order, self.one, "puno")
+        code = self.code_of(self.order, self.connection_1, "puno")
         self.assertEqual(code, Code.TRANSACTION_ROLLED_BACK.number)
         self.promote("b", "c")
-        self.order(self.two, "cusco")
+        self.order(self.connection_2, "cusco")
         self.assertEqual(self.count("puno"), 0)
 
     def test_commit_without_an_answer(self):
-        self.run_on(self.one, "BEGIN")
-        self.order(self.one, "puno")
+        self.run_on(self.connection_1, "BEGIN")
+        self.order(self.connection_1, "puno")
         self.lose_answers("COMMIT")
-        code = self.code_of(self.run_on, self.one, "COMMIT")
+        code = self.code_of(self.run_on, self.connection_1, "COMMIT")
         self.assertEqual(code, Code.COMMIT_UNKNOWN.number)
 
     def test_caller_that_hangs_up_holds_no_lock(self):
-        """A member app crashes inside a transaction.
+        """A caller disconnects inside a transaction.
 
-        Its locks would make everybody else's writes wait until their
-        deadlines.
+        If its locks stayed, the other callers' writes would wait until
+        their deadlines.
         """
-        self.run_on(self.one, "BEGIN")
-        self.order(self.one, "puno")
-        self.one.close()
-        self.order(self.two, "cusco")
+        self.run_on(self.connection_1, "BEGIN")
+        self.order(self.connection_1, "puno")
+        self.connection_1.close()
+        self.order(self.connection_2, "cusco")
         self.assertEqual(self.count("puno"), 0)
         self.assertEqual(self.count("cusco"), 1)
 
     def test_session_that_saw_a_dropped_write_is_told_once(self):
         """A session holds a position that a promotion has dropped.
 
-        Served silently it would miss what it had seen; refused for
-        ever, its caller would have to log in again.
+        Without a refusal the session would miss data that it had seen.
+        If it were refused more than once, its caller would have to log
+        in again.
         """
         self.promote("b", "c")
-        self.order(self.one, "puno", "k1")
+        self.order(self.connection_1, "puno", "k1")
         token = self.site.proxies[0].parts.tokens.mint(
             "diocese-puno", "s1", {GROUP: Position(1, 10_000)}, False
         )
         sql = f"/* redwing: token={token} */ SELECT COUNT(*) FROM orders"
-        code = self.code_of(self.run_on, self.one, sql)
+        code = self.code_of(self.run_on, self.connection_1, sql)
         self.assertEqual(code, Code.POSITION_LOST.number)
-        rows = self.run_on(self.one, sql)[0]
+        rows = self.run_on(self.connection_1, sql)[0]
         self.assertEqual(int(rows[0][0]), 1)
 
     def test_commits_are_confirmed_together(self):
-        """Many writes at once share the waits at the replicas."""
+        """Concurrent writes share the waits at the replicas."""
         before = [proxy.confirmer.waits_sent for proxy in self.site.proxies]
         with ThreadPoolExecutor(8) as pool:
             connections = [self.connect(0) for _ in range(8)]
--- a/redwingpost/proxy/transactions.py
+++ b/redwingpost/proxy/transactions.py
@@ -1,4 +1,4 @@
-"""Serve interactive transactions: pinned to one connection each."""
+"""Run interactive transactions, each pinned to one connection."""
 
 from typing import NamedTuple
 
@@ -17,16 +17,17 @@
     TargetError,
     TargetLost,
 )
-from redwingpost.proxy.attempts import Committed, Failed, failed_by
-from redwingpost.proxy.targets import Targets
+from redwingpost.proxy.attempts import Committed, Failed, failed_from_error
+from redwingpost.proxy.targets import TargetPool
 from redwingpost.proxy.view_watch import ViewWatch
 from redwingpost.proxy.writes import Writer, WriteAnswer
 from redwingpost.retries.table import Action, Failure, RequestClass, next_step
 
-#: Seconds that a ROLLBACK may take; then closing the connection does it.
+#: Timeout of a ROLLBACK (seconds); after it the connection is closed,
+#: which rolls back as well.
 ROLLBACK_TIMEOUT_S = 1.0
 
-_LOST_WHY_BY_FAILURE = {
+_ROLLBACK_REASON_BY_FAILURE = {
     Failure.NOT_SENT: "the connection to the target was lost",
     Failure.NO_ANSWER: "the target did not answer",
     Failure.DEADLINE: "the deadline passed",
@@ -39,17 +40,17 @@
 _DEADLOCK = 1213
 
 
-def is_over(error: Refusal | MemberError) -> bool:
-    """Say whether a statement's error ended its transaction.
+def ends_transaction(error: Refusal | MemberError) -> bool:
+    """Return whether a statement's error ended its transaction.
 
-    A deadlock's victim was rolled back by the target: what came after it
-    on the same connection would commit by itself.
+    The target rolls back a deadlock's victim. Later statements on the
+    same connection would run outside the transaction and commit at once.
     """
     return isinstance(error, Refusal) or error.number == _DEADLOCK
 
 
 class Transaction(NamedTuple):
-    """An open transaction: its group, term and own connection."""
+    """An open transaction: its group, term and pinned connection."""
 
     group: str
     term: int
@@ -57,24 +58,24 @@
 
 
 class Transactions:
-    """Begins, carries and ends transactions.
+    """Begins, runs and ends transactions.
 
-    A transaction that loses its connection is rolled back by the target,
-    and one whose caller has gone is rolled back here, so that its locks
-    hold nobody up.
+    The target rolls back a transaction whose connection is lost. A
+    transaction whose caller has disconnected is rolled back here, so that
+    its locks block no other callers.
 
     Parameters
     ----------
     writer : Writer
-        Confirms commits and opens transactions with its retries.
+        Opens transactions, with retries, and confirms commits.
     pool, views, clock
-        The proxy's parts.
+        Shared components of the proxy.
     """
 
     def __init__(
         self,
         writer: Writer,
-        pool: Targets,
+        pool: TargetPool,
         views: ViewWatch,
         clock: Clock,
     ) -> None:
@@ -88,10 +89,10 @@
     ) -> Result[Transaction, Refusal | MemberError]:
         """Open a transaction on the group's primary.
 
-        Nothing has run yet, so a failure is retried like a write that
+        Nothing has run yet, so failures are retried as for a write that
         wasn't sent.
         """
-        opened = await self._writer.open(request, sql)
+        opened = await self._writer.open_transaction(request, sql)
         if opened.is_error():
             return opened
         connection, term = opened.ok
@@ -102,7 +103,7 @@
     ) -> Result[StatementResult, Refusal | MemberError]:
         """Run a statement inside a transaction.
 
-        A refusal means that the transaction is gone.
+        A refusal means that the transaction has ended.
         """
         group, term, connection = transaction
         try:
@@ -111,12 +112,14 @@
                     sql, self._remaining(request)
                 )
         except TargetError as error:
-            return await self._failed(
-                transaction, RequestClass.IN_TRANSACTION, failed_by(error)
+            return await self._handle_failure(
+                transaction,
+                RequestClass.IN_TRANSACTION,
+                failed_from_error(error),
             )
         except TargetLost:
-            failed = Failed(self._failure(request, Failure.NO_ANSWER))
-            return await self._failed(
+            failed = Failed(self._loss_failure(request, Failure.NO_ANSWER))
+            return await self._handle_failure(
                 transaction, RequestClass.IN_TRANSACTION, failed
             )
         return Ok(result)
@@ -124,10 +127,10 @@
     async def commit(
         self, transaction: Transaction, request: Request
     ) -> Result[WriteAnswer, Refusal | MemberError]:
-        """Commit; the transaction is gone whatever the answer."""
+        """Commit; the transaction has ended whatever the answer."""
         outcome = await self._commit(transaction, request)
         if isinstance(outcome, Failed):
-            return await self._failed(
+            return await self._handle_failure(
                 transaction, RequestClass.COMMIT, outcome
             )
         await self._pool.release(transaction.connection, clean=False)
@@ -143,20 +146,20 @@
                     "COMMIT", self._remaining(request)
                 )
             except TargetError as error:
-                return failed_by(error)
+                return failed_from_error(error)
             except TargetLost as lost:
-                sent = Failure.NO_ANSWER if lost.sent else Failure.NOT_SENT
-                return Failed(sent)
+                failure = Failure.NO_ANSWER if lost.sent else Failure.NOT_SENT
+                return Failed(failure)
             try:
                 return Committed(result, await connection.position())
             except (TargetError, TargetLost):
                 return Failed(Failure.NOT_CONFIRMED)
 
-    def _failure(self, request: Request, failure: Failure) -> Failure:
-        late = self._remaining(request) <= 0
-        return Failure.DEADLINE if late else failure
+    def _loss_failure(self, request: Request, failure: Failure) -> Failure:
+        deadline_passed = self._remaining(request) <= 0
+        return Failure.DEADLINE if deadline_passed else failure
 
-    async def _failed(
+    async def _handle_failure(
         self,
         transaction: Transaction,
         request_class: RequestClass,
@@ -164,18 +167,20 @@
     ) -> Result[StatementResult, Refusal | MemberError]:
         step = next_step(request_class, failed.failure, can_retry=False)
         if step.action is Action.PASS_ERROR:
-            if request_class is RequestClass.COMMIT or is_over(failed.error):
+            if request_class is RequestClass.COMMIT or ends_transaction(
+                failed.error
+            ):
                 await self._pool.drop(transaction.connection)
             return Error(failed.error)
         await self._pool.drop(transaction.connection)
-        why = _LOST_WHY_BY_FAILURE.get(failed.failure, "")
+        reason = _ROLLBACK_REASON_BY_FAILURE.get(failed.failure, "")
         code = step.code or Code.TRANSACTION_ROLLED_BACK
         rolled_back = code is Code.TRANSACTION_ROLLED_BACK
-        detail = f"rolled back: {why}" if rolled_back and why else ""
+        detail = f"rolled back: {reason}" if rolled_back and reason else ""
         return Error(Refusal(code, detail))
 
     async def rollback(self, transaction: Transaction) -> None:
-        """Undo a transaction, at the latest by closing its connection."""
+        """Roll back; close the connection if the ROLLBACK fails."""
         try:
             await transaction.connection.execute(
                 "ROLLBACK", ROLLBACK_TIMEOUT_S
--- a/redwingpost/proxy/writes.py
+++ b/redwingpost/proxy/writes.py
@@ -1,4 +1,4 @@
-"""Serve autocommit writes: on the primary, acknowledged when proven."""
+"""Run autocommit writes on the primary; acknowledge confirmed ones."""
 
 from asyncio import create_task
 from random import Random
@@ -36,13 +36,13 @@
     Committed,
     Failed,
     KeyedWrite,
-    failed_by,
+    failed_from_error,
     run_keyed,
     run_unkeyed,
 )
 from redwingpost.proxy.confirm import Confirmer
 from redwingpost.proxy.directory import Directory
-from redwingpost.proxy.targets import AdmissionRefused, Targets
+from redwingpost.proxy.targets import AdmissionRefused, TargetPool
 from redwingpost.proxy.view_watch import ViewWatch
 from redwingpost.retries.budget import RetryBudget
 from redwingpost.retries.idempotency import (
@@ -58,24 +58,25 @@
     next_step,
 )
 
-#: Pause before a member that failed is tried again without another
-#: primary being known; grows to the second figure (seconds). A restart
-#: takes longer than the first, a promotion wakes the request anyway.
+#: Pauses before a failed member is tried again while no other primary is
+#: known; they grow from the first to the longest (seconds). A restart
+#: takes longer than the first, and a promotion ends the pause early.
 FIRST_PAUSE_S = 0.05
 LONGEST_PAUSE_S = 0.4
 
-#: When a caller may come back that found no primary: a promotion takes
+#: Retry delay for a caller whose group had no primary: a promotion takes
 #: about a second.
 RETRY_AFTER_MS = 500
 
 _DDL = frozenset({"CREATE", "ALTER", "DROP", "TRUNCATE", "RENAME"})
 
-#: Failures that left this proxy without load on any member.
-_FREE_OF_BUDGET = {Failure.NOT_SENT, Failure.READ_ONLY}
+#: Failures whose retries need no budget: the attempt put no load on a
+#: member.
+_UNBUDGETED_FAILURES = {Failure.NOT_SENT, Failure.READ_ONLY}
 
 
 class WriteAnswer(NamedTuple):
-    """A write's result and the position it was committed at."""
+    """Result of a write and the position of its commit."""
 
     result: StatementResult
     position: Position
@@ -85,7 +86,7 @@
 
 
 class _Progress:
-    """What is known of one request across its attempts."""
+    """State of one request across its attempts."""
 
     def __init__(self, request: Request, sql: str) -> None:
         self.request = request
@@ -95,12 +96,12 @@
 
     @property
     def is_keyed(self) -> bool:
-        """Whether a second sending is harmless."""
+        """Whether the write has a key, so that it can be sent again."""
         return bool(self.request.marks.idempotency_key)
 
     @property
     def request_class(self) -> RequestClass:
-        """The row of the retry table."""
+        """The request's class in the retry table."""
         if self.is_keyed:
             return RequestClass.KEYED_WRITE
         return RequestClass.UNKEYED_WRITE
@@ -112,15 +113,15 @@
     Parameters
     ----------
     directory, pool, confirmer, clock, views
-        The proxy's parts.
+        Shared components of the proxy.
     random : Random, optional
-        For jitter.
+        Source of jitter.
     """
 
     def __init__(
         self,
         directory: Directory,
-        pool: Targets,
+        pool: TargetPool,
         confirmer: Confirmer,
         clock: Clock,
         views: ViewWatch,
@@ -137,7 +138,7 @@
         self._tasks: set[Any] = set()
 
     async def write(self, request: Request, sql: str) -> Answer:
-        """Run one autocommit write until its outcome is known."""
+        """Run one autocommit write, with retries, and answer it."""
         refusal = _check_key(request, sql)
         if refusal is not None:
             return Error(refusal)
@@ -148,21 +149,21 @@
             try:
                 outcome = await self._attempt(progress)
             except AdmissionRefused as refused:
-                return Error(_refuse(progress, refused))
+                return Error(_admission_refusal(progress, refused))
             if isinstance(outcome, Committed):
                 outcome = await self._acknowledge(progress, outcome)
             if isinstance(outcome, Committed):
                 return Ok(WriteAnswer(outcome.result, outcome.position))
             if isinstance(outcome, Refusal):
                 return Error(outcome)
-            answer = await self._after_failure(progress, outcome, term)
+            answer = await self._handle_failure(progress, outcome, term)
             if answer is not None:
                 return Error(answer)
 
-    async def open(
+    async def open_transaction(
         self, request: Request, sql: str
     ) -> Result[tuple[Any, int], Refusal | MemberError]:
-        """Return a connection to the primary with a transaction open.
+        """Open a transaction on the primary.
 
         Returns
         -------
@@ -174,23 +175,23 @@
         while True:
             term = self._views.term(request.group)
             try:
-                opened = await self._open(progress)
+                opened = await self._try_open(progress)
             except AdmissionRefused as refused:
                 return Error(refused.refusal)
             if not isinstance(opened, Failed):
                 return Ok((opened, term))
-            answer = await self._after_failure(progress, opened, term)
+            answer = await self._handle_failure(progress, opened, term)
             if answer is not None:
                 return Error(answer)
 
-    async def _open(self, progress: _Progress) -> Any:
+    async def _try_open(self, progress: _Progress) -> Any:
         primary = self._directory.primary(progress.request.group)
         if primary is None:
             return Failed(Failure.NOT_SENT)
         try:
             connection = await self._acquire(primary, progress)
         except TargetError as error:
-            return failed_by(error)
+            return failed_from_error(error)
         except TargetLost:
             return Failed(Failure.NOT_SENT)
         progress.attempts += 1
@@ -199,7 +200,7 @@
             await connection.execute(progress.sql, timeout)
         except TargetError as error:
             await self._pool.release(connection, clean=False)
-            return failed_by(error)
+            return failed_from_error(error)
         except TargetLost:
             await self._pool.drop(connection)
             return Failed(Failure.COMMIT_NOT_SENT)
@@ -217,7 +218,7 @@
     async def acknowledge_commit(
         self, request: Request, committed: Committed
     ) -> Answer:
-        """Prove a transaction's commit safe before its caller is told."""
+        """Confirm a transaction's commit and return the answer for it."""
         progress = _Progress(request, "COMMIT")
         outcome = await self._acknowledge(progress, committed)
         if isinstance(outcome, Committed):
@@ -242,7 +243,7 @@
         try:
             connection = await self._acquire(primary, progress)
         except TargetError as error:
-            return failed_by(error)
+            return failed_from_error(error)
         except TargetLost:
             return Failed(Failure.NOT_SENT)
         progress.attempts += 1
@@ -252,7 +253,7 @@
         clean = isinstance(outcome, Committed)
         await self._pool.release(connection, clean=clean)
         if progress.is_keyed and clean and self._purges.due():
-            self._spawn(self._purge(primary, request))
+            self._start_task(self._purge(primary, request))
         return outcome
 
     async def _run(
@@ -270,43 +271,45 @@
         try:
             return await run_keyed(connection, write, timeout)
         except TargetError as error:
-            return failed_by(error)
+            return failed_from_error(error)
         except TargetLost:
             return Failed(Failure.COMMIT_NOT_SENT)
 
     async def _acknowledge(
         self, progress: _Progress, committed: Committed
     ) -> Committed | Failed:
-        """Prove the write safe, or learn what a promotion made of it."""
+        """Confirm the write, or find out whether a promotion kept it."""
         request = progress.request
-        kind = self._kind(request)
+        policy = self._unconfirmed_policy(request)
         bound_s = min(CONFIRM_TIMEOUT_S, self._remaining(request))
         decision = await self._confirmer.decide(
-            request.group, committed.position, bound_s, kind
+            request.group, committed.position, bound_s, policy
         )
         if decision is Decision.ACKNOWLEDGED:
             return committed
-        fate = await self._learn_fate(request, committed.position)
-        if fate is WriteOutcome.SURVIVED:
+        write_outcome = await self._resolve_unconfirmed(
+            request, committed.position
+        )
+        if write_outcome is WriteOutcome.SURVIVED:
             return committed
-        if fate is WriteOutcome.DROPPED:
+        if write_outcome is WriteOutcome.DROPPED:
             return Failed(Failure.DROPPED)
         return Failed(Failure.NOT_CONFIRMED, position=committed.position)
 
-    def _kind(self, request: Request) -> UnconfirmedPolicy:
+    def _unconfirmed_policy(self, request: Request) -> UnconfirmedPolicy:
         kind = self._directory.configuration.kind(request.marks.kind)
         return UnconfirmedPolicy(kind.unconfirmed)
 
-    async def _learn_fate(
+    async def _resolve_unconfirmed(
         self, request: Request, position: Position
     ) -> WriteOutcome:
-        """Wait for the next term and judge the write by its history."""
-        arrived = await self._views.wait_beyond(
+        """Wait for the next term and look the write up in its history."""
+        has_later_term = await self._views.wait_for_later_term(
             request.group, position.term, self._remaining(request)
         )
-        if not arrived:
+        if not has_later_term:
             # Still the same term: a replica may have caught up by now.
-            return await self._same_term(request, position)
+            return await self._confirm_in_same_term(request, position)
         view: GroupView = self._directory.view(request.group)
         if not view.history:
             return WriteOutcome.UNDECIDED
@@ -317,7 +320,7 @@
             return WriteOutcome.UNDECIDED
         return resolve_write(position, view.history, first)
 
-    async def _same_term(
+    async def _confirm_in_same_term(
         self, request: Request, position: Position
     ) -> WriteOutcome:
         confirmed = await self._confirmer.confirm(
@@ -325,13 +328,14 @@
         )
         return WriteOutcome.SURVIVED if confirmed else WriteOutcome.UNDECIDED
 
-    async def _after_failure(
+    async def _handle_failure(
         self, progress: _Progress, failed: Failed, term: int
     ) -> Refusal | MemberError | None:
-        """Return the final answer, or None once to try again."""
+        """Return the final answer, or None after the pause for a retry."""
         request, failure = progress.request, failed.failure
         can_retry = self._remaining(request) > 0 and (
-            failure in _FREE_OF_BUDGET or self._budget(request.group).spend()
+            failure in _UNBUDGETED_FAILURES
+            or self._budget(request.group).spend()
         )
         step = next_step(
             progress.request_class, failure, can_retry, progress.may_have_run
@@ -343,7 +347,7 @@
         if step.action in (Action.RETRY, Action.RETRY_WITH_KEY):
             await self._pause(progress, failure, term)
             return None
-        if failed.on_record:
+        if failed.key_in_use:
             return Refusal(Code.STILL_RUNNING, retry_after_ms=RETRY_AFTER_MS)
         if step.action is Action.PASS_ERROR and failed.error is not None:
             return failed.error
@@ -354,28 +358,34 @@
     async def _pause(
         self, progress: _Progress, failure: Failure, term: int
     ) -> None:
-        """Wait for another primary, or a moment.
+        """Wait for another primary, but not longer than a pause.
 
-        A member that refused by 1290 has promised a later term: it
-        won't take writes in this one again, so only a later view helps.
+        A member that refused with error 1290 has promised a later term
+        and takes no more writes in this one. That failure therefore waits
+        for a later term, until the request's deadline.
         """
         left = self._remaining(progress.request)
         if failure is Failure.READ_ONLY:
-            await self._views.wait_beyond(progress.request.group, term, left)
+            await self._views.wait_for_later_term(
+                progress.request.group, term, left
+            )
             return
         pause = FIRST_PAUSE_S * 2 ** min(progress.attempts, 3)
         pause = min(pause, LONGEST_PAUSE_S) * (0.5 + self._random.random())
-        await self._views.wait_beyond(
+        await self._views.wait_for_later_term(
             progress.request.group, term, min(pause, left)
         )
 
-    def _spawn(self, work: Any) -> None:
+    def _start_task(self, work: Any) -> None:
         task = create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _purge(self, primary: MemberAddress, request: Request) -> None:
-        """Delete a batch of expired records; the next one tries again."""
+        """Delete a batch of expired records; failures are ignored.
+
+        The next purge deletes what this one left.
+        """
         try:
             connection = await self._pool.acquire(primary, request)
         except (TargetError, TargetLost, AdmissionRefused):
@@ -385,9 +395,11 @@
         await self._pool.release(connection, clean=clean)
 
 
-def _refuse(progress: _Progress, refused: AdmissionRefused) -> Refusal:
-    # An earlier attempt may have run: "not run" would be a lie, although
-    # this attempt sent nothing.
+def _admission_refusal(
+    progress: _Progress, refused: AdmissionRefused
+) -> Refusal:
+    # This attempt sent nothing, but an earlier one may have run, so "not
+    # run" could be false.
     if progress.may_have_run:
         return Refusal(Code.OUTCOME_UNKNOWN)
     return refused.refusal
@@ -401,6 +413,7 @@
         return Refusal(Code.BAD_MARK, "the idempotency key is too long")
     words = sql.split(None, 1)
     if words and words[0].upper() in _DDL:
-        # DDL commits by itself, and the record with it, before it ran.
+        # DDL commits implicitly before it runs. That would commit the
+        # record of a statement that may then fail.
         return Refusal(Code.BAD_MARK, "DDL takes no idempotency key")
     return None
