--- a/redwingpost/cli/node.py
+++ b/redwingpost/cli/node.py
@@ -11,7 +11,7 @@
 from redwingpost.platform.caller_server import CallerServer
 from redwingpost.platform.entries import FORMAT
 from redwingpost.platform.member_link import LineLinkFactory
-from redwingpost.platform.orders import PromotionCalls
+from redwingpost.platform.orders import HttpPromotionOrders
 from redwingpost.platform.settings import PATH_VARIABLE, load_node_settings
 from redwingpost.platform.store import RowStore
 from redwingpost.ports.clock import MonotonicClock
@@ -50,7 +50,7 @@
     outside = Outside(
         RowStore(settings.store.ip, settings.store.port, clock),
         LineLinkFactory(),
-        PromotionCalls(settings.orders.ip, settings.orders.port, clock),
+        HttpPromotionOrders(settings.orders.ip, settings.orders.port, clock),
         FORMAT,
         clock,
     )
--- a/redwingpost/node/service.py
+++ b/redwingpost/node/service.py
@@ -105,7 +105,7 @@
     def stop_listening(self) -> None:
         """Take no further connections."""
 
-    def close_resting(self) -> int:
+    def close_idle(self) -> int:
         """Close connections with nothing outstanding; return how many."""
 
 
@@ -492,7 +492,7 @@
             or now - self._unready_since < ELSEWHERE_AFTER_S
         ):
             return
-        closed = self.callers.close_resting()
+        closed = self.callers.close_idle()
         if closed:
             log_event("sent-elsewhere", sessions=closed)
 
@@ -518,7 +518,7 @@
         while self._clock.now() < until:
             if not callers.open_connections and self._home_server.is_idle:
                 break
-            callers.close_resting()
+            callers.close_idle()
             await self.sleep(0.03)
         await gather(leave, return_exceptions=True)
         self._channels.close()
--- a/redwingpost/platform/__init__.py
+++ b/redwingpost/platform/__init__.py
@@ -1,5 +1,6 @@
-"""What only translates between the product and the users' platform.
+"""Translation between the product and the users' platform.
 
-Names on the platform's wire are decoded here, once, into types of the
-product. Nothing here decides, and nothing outside knows these names.
+The platform's wire names are decoded here, once, into types of the
+product. The package makes no decisions, and no other package uses these
+names.
 """
--- a/redwingpost/platform/caller_server.py
+++ b/redwingpost/platform/caller_server.py
@@ -1,4 +1,4 @@
-"""Callers' connections: lines in, typed statements to a session."""
+"""Server for callers: reads lines and runs them in a session."""
 
 from asyncio import (
     CancelledError,
@@ -37,12 +37,12 @@
 from redwingpost.ports.database import MemberFailure
 from redwingpost.statements.session import Phase
 
-#: Seconds for closed connections to give up what they hold.
-CLOSE_S = 0.3
+#: Seconds for the handlers of closed connections to release their sessions.
+CLOSE_TIMEOUT_S = 0.3
 
 
 class Session(Protocol):
-    """A caller's session as the server drives it."""
+    """A caller's session as the server uses it."""
 
     phase: Phase
     position: Position | None
@@ -50,26 +50,29 @@
     async def run(
         self, statement: Statement
     ) -> Answer | MemberFailure | Refusal:
-        """Run one statement and return what to answer."""
+        """Run one statement and return its outcome."""
 
     async def close(self) -> None:
-        """Give up whatever the session holds."""
+        """Release the session's resources."""
 
 
-class SessionMaker(Protocol):
+class SessionFactory(Protocol):
     """Opens sessions."""
 
     async def open_session(self, database: str, key: str) -> Session | Refusal:
-        """Return a session, or why there can't be one."""
+        """Return a session, or the reason for its refusal."""
 
 
-class WatchedReader(StreamReader):
-    """Knows whether bytes came in that nobody has read yet."""
+class UnreadTrackingReader(StreamReader):
+    """Stream reader that records whether bytes arrived since the last line.
+
+    ``has_unread`` is cleared by the connection after each line.
+    """
 
     has_unread = False
 
     def feed_data(self, data: bytes) -> None:
-        """Take in what the transport has received."""
+        """Append bytes that the transport received."""
         self.has_unread = True
         super().feed_data(data)
 
@@ -77,30 +80,32 @@
 class CallerConnection:
     """One caller's connection."""
 
-    def __init__(self, reader: WatchedReader, writer: StreamWriter) -> None:
+    def __init__(
+        self, reader: UnreadTrackingReader, writer: StreamWriter
+    ) -> None:
         self._reader = reader
         self._writer = writer
         self._session: Session | None = None
-        self._is_waiting = False
+        self._is_awaiting_line = False
         self._is_closed = False
 
     @property
-    def is_resting(self) -> bool:
-        """Whether nothing is outstanding and no transaction is open.
+    def is_idle(self) -> bool:
+        """Whether no request is pending and no transaction is open.
 
         A request may have arrived although its handler still waits: on a
-        busy VM a turn of the loop takes a tenth of a second. Closed then,
-        its caller would get no answer. So neither the socket nor the
-        reader may hold bytes.
+        busy VM one iteration of the event loop takes 0.1 s. If the
+        connection were closed then, the caller would get no answer. So
+        neither the socket nor the reader may hold bytes.
         """
-        if self._session is None or not self._is_waiting:
+        if self._session is None or not self._is_awaiting_line:
             return False
         if self._session.phase is not Phase.IDLE:
             return False
         return not (self._reader.has_unread or self._is_readable())
 
     def close(self) -> None:
-        """Close the connection; a request that comes now never runs."""
+        """Close the connection; requests that arrive later don't run."""
         self._is_closed = True
         self._writer.close()
 
@@ -109,14 +114,14 @@
         waiting.register(self._writer.get_extra_info("socket"), POLLIN)
         return bool(waiting.poll(0))
 
-    async def serve(self, sessions: SessionMaker) -> None:
-        """Serve the connection until either side ends it."""
+    async def serve(self, sessions: SessionFactory) -> None:
+        """Serve the connection until either side closes it."""
         try:
             if await self._start(sessions):
                 while await self._serve_line():
                     pass
         except (OSError, IncompleteReadError):
-            # The caller left; what it held is given up below.
+            # The caller disconnected; its session is closed below.
             pass
         except LimitOverrunError:
             self._send(render_error(Refusal(Code.TOO_LARGE)))
@@ -125,11 +130,11 @@
                 await self._session.close()
             self._writer.close()
 
-    async def _start(self, sessions: SessionMaker) -> bool:
+    async def _start(self, sessions: SessionFactory) -> bool:
         message = parse_caller_line(await read_line(self._reader))
         self._reader.has_unread = False
         if not isinstance(message, Startup):
-            self._send(render_error(Refusal(Code.UNSUPPORTED, "no start")))
+            self._send(render_error(Refusal(Code.UNSUPPORTED, "no STARTUP")))
             return False
         opened = await sessions.open_session(message.database, message.key)
         if isinstance(opened, Refusal):
@@ -140,12 +145,13 @@
         return True
 
     async def _serve_line(self) -> bool:
-        self._is_waiting = True
+        self._is_awaiting_line = True
         line = await read_line(self._reader)
-        self._is_waiting = False
+        self._is_awaiting_line = False
         self._reader.has_unread = False
         if self._is_closed:
-            # Nobody would get the answer, and the caller tries elsewhere.
+            # The caller can't get the answer and retries on another VM;
+            # the statement would run twice.
             return False
         message = parse_caller_line(line)
         if isinstance(message, (Terminate, Startup)):
@@ -153,7 +159,8 @@
         if isinstance(message, Malformed):
             outcome = Refusal(Code.UNSUPPORTED, message.detail)
             if not message.request:
-                # Where the line's bounds are in doubt, so is what follows.
+                # The end of the line is uncertain, so the lines after it
+                # can't be trusted either.
                 self._send(render_error(outcome))
                 return False
         else:
@@ -168,26 +175,26 @@
 
 
 class CallerServer(Service):
-    """Listens for callers.
+    """Accepts callers' connections and serves each in a task.
 
     Parameters
     ----------
     ip, port : str, int
-        Where to listen; port 0 takes a free one.
-    sessions : SessionMaker
-        Opens their sessions.
+        Address to listen on; port 0 selects a free one.
+    sessions : SessionFactory
+        Opens the callers' sessions.
     """
 
     def __init__(
-        self, ip: str, port: int, sessions: SessionMaker, **kwargs: Any
+        self, ip: str, port: int, sessions: SessionFactory, **kwargs: Any
     ) -> None:
         super().__init__(**kwargs)
         self._ip = ip
         self._port = port
         self._sessions = sessions
         self._server: Server | None = None
-        self._open: set[CallerConnection] = set()
-        self._handlers: set[Task] = set()
+        self._connections: set[CallerConnection] = set()
+        self._handler_tasks: set[Task] = set()
 
     @property
     def port(self) -> int:
@@ -197,51 +204,51 @@
     @property
     def open_connections(self) -> int:
         """Return how many callers are connected."""
-        return len(self._open)
+        return len(self._connections)
 
     async def on_start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self._server = await get_running_loop().create_server(
             self._make_protocol, self._ip, self._port, backlog=1024
         )
 
     async def on_stop(self) -> None:
-        """Stop listening and close what is left."""
+        """Stop listening and close the remaining connections."""
         self.stop_listening()
-        for connection in tuple(self._open):
+        for connection in tuple(self._connections):
             connection.close()
-        if self._handlers:
-            await wait(self._handlers, timeout=CLOSE_S)
+        if self._handler_tasks:
+            await wait(self._handler_tasks, timeout=CLOSE_TIMEOUT_S)
 
     def stop_listening(self) -> None:
-        """Take no further connections."""
+        """Accept no further connections."""
         if self._server is not None:
             self._server.close()
 
-    def close_resting(self) -> int:
-        """Close connections with nothing outstanding; return how many."""
-        resting = [item for item in self._open if item.is_resting]
-        for connection in resting:
+    def close_idle(self) -> int:
+        """Close idle connections; return their number."""
+        idle_connections = [item for item in self._connections if item.is_idle]
+        for connection in idle_connections:
             connection.close()
-        return len(resting)
+        return len(idle_connections)
 
     def _make_protocol(self) -> StreamReaderProtocol:
-        reader = WatchedReader(limit=MAX_MESSAGE_BYTES + 2)
+        reader = UnreadTrackingReader(limit=MAX_MESSAGE_BYTES + 2)
         return StreamReaderProtocol(reader, self._accept)
 
     async def _accept(
-        self, reader: WatchedReader, writer: StreamWriter
+        self, reader: UnreadTrackingReader, writer: StreamWriter
     ) -> None:
         tune_socket(writer)
         connection = CallerConnection(reader, writer)
-        self._open.add(connection)
+        self._connections.add(connection)
         handler = current_task()
-        self._handlers.add(handler)
+        self._handler_tasks.add(handler)
         try:
             await connection.serve(self._sessions)
         except CancelledError:
-            # The loop ends: the connection is closed by now.
+            # The event loop shuts down; the connection is already closed.
             pass
         finally:
-            self._open.discard(connection)
-            self._handlers.discard(handler)
+            self._connections.discard(connection)
+            self._handler_tasks.discard(handler)
--- a/redwingpost/platform/entries.py
+++ b/redwingpost/platform/entries.py
@@ -1,7 +1,7 @@
-"""Rows of the operator and of the members into the product's types.
+"""Decoders for the operator's and the members' rows.
 
-Another writer may leave rows with fields missing or of another type.
-Each is refused by itself; the others hold.
+Other writers use the same tables, so fields may be missing or have
+another type. Such a row raises an error by itself; the others stay valid.
 """
 
 from typing import Any
@@ -17,7 +17,7 @@
 from redwingpost.ports.platform import Row
 from redwingpost.ports.registry import EntryError, RegistryFormat
 
-_CONSISTENCY_BY_WORD = {
+_CONSISTENCY_BY_ROUTE_TYPE = {
     "primary": Consistency.PRIMARY,
     "bounded_staleness": Consistency.STATED_AGE,
     "read_your_writes": Consistency.READ_YOUR_WRITES,
@@ -28,34 +28,34 @@
 def decode_member(row: Row) -> MemberEntry:
     """Return a member's entry.
 
-    ``configVersion`` of an entry is the version of the member's own
-    software and of no use here.
+    The entry's ``configVersion`` is ignored: it is the version of the
+    member's own software.
 
     Raises
     ------
     EntryError
-        Where a field that is needed is missing or of another type.
+        If a required field is missing or has another type.
     """
-    value = _need_table(row)
-    state = _need(value, "state", str)
-    role = _need(value, "dbRole", str)
+    value = _require_object(row)
+    state = _require_field(value, "state", str)
+    role = _require_field(value, "dbRole", str)
     if state not in ("ready", "draining"):
         raise EntryError(f"state: {state!r}")
     if role not in ("primary", "replica"):
         raise EntryError(f"dbRole: {role!r}")
-    ip, _, port = _need(value, "address", str).rpartition(":")
+    ip, _, port = _require_field(value, "address", str).rpartition(":")
     if not ip or not port.isdigit():
         raise EntryError(f"address: {value['address']!r}")
     return MemberEntry(
         row.key,
-        _need(value, "service", str),
+        _require_field(value, "service", str),
         ip,
         int(port),
-        _need(value, "zone", str),
+        _require_field(value, "zone", str),
         state == "draining",
         role == "primary",
-        _need(value, "born", int) if "born" in value else 0,
-        _need(value, "slots", int) if "slots" in value else 0,
+        _require_field(value, "born", int) if "born" in value else 0,
+        _require_field(value, "slots", int) if "slots" in value else 0,
     )
 
 
@@ -65,18 +65,22 @@
     Raises
     ------
     EntryError
-        Where it can't be read.
+        If a required field is missing or has another type.
     """
-    value = _need_table(row)
-    routes = [_decode_route(item) for item in _need(value, "routes", list)]
-    groups = [_decode_group(item) for item in _need(value, "services", list)]
+    value = _require_object(row)
+    routes = [
+        _decode_route(item) for item in _require_field(value, "routes", list)
+    ]
+    groups = [
+        _decode_group(item) for item in _require_field(value, "services", list)
+    ]
     organisations = [
         _decode_organisation(item) for item in value.get("tenants", [])
     ]
     limits = value.get("limits", {})
     idle_ms = limits.get("txIdleMs", _DEFAULT_TX_IDLE_MS)
     return ServiceRules(
-        version=_need(value, "configVersion", int),
+        version=_require_field(value, "configVersion", int),
         routes_by_database={route.database: route for route in routes},
         groups_by_name={group.group: group for group in groups},
         organisations_by_name={item.name: item for item in organisations},
@@ -89,13 +93,13 @@
 
 def _decode_route(value: dict[str, Any]) -> RouteRule:
     """Return a route; ``host`` is the name of the database."""
-    word = _need(value, "routeType", str)
-    if word not in _CONSISTENCY_BY_WORD:
-        raise EntryError(f"routeType: {word!r}")
+    route_type = _require_field(value, "routeType", str)
+    if route_type not in _CONSISTENCY_BY_ROUTE_TYPE:
+        raise EntryError(f"routeType: {route_type!r}")
     return RouteRule(
-        database=_need(value, "host", str),
-        group=_need(value, "service", str),
-        consistency=_CONSISTENCY_BY_WORD[word],
+        database=_require_field(value, "host", str),
+        group=_require_field(value, "service", str),
+        consistency=_CONSISTENCY_BY_ROUTE_TYPE[route_type],
         timeout_s=value.get("timeoutMs", 1000) / 1000.0,
         target_latency_s=value.get("targetLatencyMs", 1000) / 1000.0,
         priority=value.get("priority", 1),
@@ -106,15 +110,15 @@
 
 def _decode_group(value: dict[str, Any]) -> GroupRule:
     return GroupRule(
-        _need(value, "name", str),
-        _need(value, "maxConns", int),
+        _require_field(value, "name", str),
+        _require_field(value, "maxConns", int),
         value.get("syncReplicas", 0),
     )
 
 
 def _decode_organisation(value: dict[str, Any]) -> OrganisationRule:
     return OrganisationRule(
-        _need(value, "name", str),
+        _require_field(value, "name", str),
         frozenset(value.get("apiKeys", ())),
         float(value.get("ratePerS", float("inf"))),
         float(value.get("burst", float("inf"))),
@@ -122,17 +126,17 @@
     )
 
 
-def _need_table(row: Row) -> dict[str, Any]:
+def _require_object(row: Row) -> dict[str, Any]:
     if not isinstance(row.value, dict):
-        raise EntryError(f"{row.key}: not a table")
+        raise EntryError(f"{row.key}: not a JSON object")
     return row.value
 
 
-def _need(value: dict[str, Any], name: str, kind: type) -> Any:
-    found = value.get(name)
-    if not isinstance(found, kind) or isinstance(found, bool):
-        raise EntryError(f"{name}: {found!r}; allowed: {kind.__name__}")
-    return found
+def _require_field(value: dict[str, Any], name: str, field_type: type) -> Any:
+    field = value.get(name)
+    if not isinstance(field, field_type) or isinstance(field, bool):
+        raise EntryError(f"{name}: {field!r}; allowed: {field_type.__name__}")
+    return field
 
 
 FORMAT = RegistryFormat(
--- a/redwingpost/platform/lines.py
+++ b/redwingpost/platform/lines.py
@@ -1,4 +1,4 @@
-"""Lines of callers and members: texts into typed statements, and back.
+"""Parser and renderer for the line protocol of callers and members.
 
 Text is decoded as Latin-1, which maps every byte to one character and
 back, so that opaque texts pass unchanged.
@@ -26,14 +26,15 @@
 
 ENCODING = "latin-1"
 
-#: Bytes of one message, by the platform's word.
+#: Largest message in bytes, as the platform specifies it.
 MAX_MESSAGE_BYTES = 1024 * 1024
 
-#: Id of statements that no caller sent.
-OWN_ID = "-"
+#: Stands for an empty field, and for the request id of statements that the
+#: proxy itself sends.
+EMPTY_FIELD = "-"
 
-_END = "\r\n"
-_KIND_BY_WORD = {
+_LINE_END = "\r\n"
+_KIND_BY_KEYWORD = {
     "COMMIT": StatementKind.COMMIT,
     "ROLLBACK": StatementKind.ROLLBACK,
     "READ": StatementKind.READ,
@@ -43,7 +44,7 @@
     "PREPARE": StatementKind.PREPARE,
     "CLOSE": StatementKind.CLOSE,
 }
-_FAILURE_BY_WORD = {
+_FAILURE_BY_KEYWORD = {
     "BUSY": FailureKind.FULL,
     "MAXCONN": FailureKind.TOO_MANY_CONNECTIONS,
     "WRONGNODE": FailureKind.WRONG_MEMBER,
@@ -59,7 +60,7 @@
     Phase.IN_TRANSACTION: "T",
     Phase.FAILED: "E",
 }
-_WORD_BY_CODE = {
+_KEYWORD_BY_CODE = {
     Code.WRONG_KEY.name: "AUTHFAIL",
     Code.KEY_WITHDRAWN.name: "AUTHFAIL",
     Code.UNKNOWN_GROUP.name: "NODB",
@@ -68,7 +69,7 @@
     Code.NOT_FRESH.name: "LAGGING",
     Code.TIMED_OUT.name: "TIMEOUT",
 }
-_WORD_BY_OUTCOME = {
+_KEYWORD_BY_OUTCOME = {
     Outcome.NOT_RUN: "BUSY",
     Outcome.ROLLED_BACK: "ABORTED",
     Outcome.UNKNOWN: "INDOUBT",
@@ -77,18 +78,21 @@
 
 
 class Startup(NamedTuple):
-    """A caller opens a session; ``key`` may be empty."""
+    """A caller's request to open a session; ``key`` may be empty."""
 
     database: str
     key: str
 
 
 class Terminate(NamedTuple):
-    """A caller ends its session."""
+    """A caller's request to end its session."""
 
 
 class Malformed(NamedTuple):
-    """A line that can't be read; ``request`` is its id if it has one."""
+    """A line that can't be parsed.
+
+    ``request`` is its request id, or empty if it has none.
+    """
 
     detail: str
     request: str = ""
@@ -98,16 +102,16 @@
 
 
 def has_control_characters(line: str) -> bool:
-    """Say whether a line holds characters that end or hide lines.
+    """Return whether a line holds a CR, LF or NUL.
 
-    A bare LF or CR could end a line for a member that didn't for us: the
-    rest would run as another statement. A NUL could cut it short.
+    A member might take a bare LF or CR as the end of a line and run the
+    rest as another statement. A NUL might truncate the line.
     """
     return any(character in line for character in "\r\n\0")
 
 
 def parse_caller_line(line: str) -> CallerMessage:
-    """Return what a caller's line, without its end, says.
+    """Parse a caller's line, given without its line end.
 
     Examples
     --------
@@ -119,12 +123,12 @@
     'unknown statement'
     """
     if has_control_characters(line):
-        return Malformed("control characters")
-    word, _, rest = line.partition(" ")
-    if word == "QUERY":
+        return Malformed("line contains CR, LF or NUL")
+    keyword, _, rest = line.partition(" ")
+    if keyword == "QUERY":
         request, _, text = rest.partition(" ")
         return _parse_statement(request, text)
-    if word == "STARTUP":
+    if keyword == "STARTUP":
         database, _, key = rest.partition(" ")
         return Startup(database, key)
     if line == "TERMINATE":
@@ -133,26 +137,26 @@
 
 
 def _parse_statement(request: str, text: str) -> Statement | Malformed:
-    if request in ("", OWN_ID):
-        return Malformed("no id")
+    if request in ("", EMPTY_FIELD):
+        return Malformed("no request id")
     if text == "BEGIN":
         return Statement(request, StatementKind.BEGIN, text)
     if text == "BEGIN READ":
         return Statement(request, StatementKind.BEGIN_READ_ONLY, text)
-    word, _, rest = text.partition(" ")
-    kind = _KIND_BY_WORD.get(word)
+    keyword, _, rest = text.partition(" ")
+    kind = _KIND_BY_KEYWORD.get(keyword)
     if kind is None:
         return Malformed("unknown statement", request)
     if kind in (StatementKind.COMMIT, StatementKind.ROLLBACK):
         if rest:
-            return Malformed("nothing may follow", request)
+            return Malformed("statement takes no argument", request)
         return Statement(request, kind, text)
     if not rest:
-        return Malformed("something must follow", request)
-    return _parse_named(request, kind, text, rest)
+        return Malformed("statement needs an argument", request)
+    return _parse_arguments(request, kind, text, rest)
 
 
-def _parse_named(
+def _parse_arguments(
     request: str, kind: StatementKind, text: str, rest: str
 ) -> Statement | Malformed:
     if kind in (StatementKind.READ, StatementKind.WRITE):
@@ -162,7 +166,7 @@
         return Statement(request, kind, text, name, argument)
     mode, _, shape = argument.partition(" ")
     if mode not in ("READ", "WRITE") or not shape:
-        return Malformed("READ or WRITE and a shape must follow", request)
+        return Malformed("PREPARE needs READ or WRITE and a shape", request)
     prepared = Shape(mode == "WRITE", shape)
     return Statement(request, kind, text, name, argument, prepared)
 
@@ -172,7 +176,7 @@
     phase: Phase,
     position: Position | None,
 ) -> bytes:
-    """Return the bytes that answer a caller's statement.
+    """Return the bytes of the answer to a caller's statement.
 
     Examples
     --------
@@ -181,16 +185,16 @@
     """
     if isinstance(outcome, Answer):
         lines = [f"DATAROW {row}" for row in outcome.rows]
-        lines.append(f"COMPLETE {outcome.proof or OWN_ID}")
+        lines.append(f"COMPLETE {outcome.proof or EMPTY_FIELD}")
     else:
         lines = [render_error(outcome)]
     state = _STATE_BY_PHASE[phase]
     lines.append(f"READY {state} {format_position(position)}")
-    return (_END.join(lines) + _END).encode(ENCODING, "replace")
+    return (_LINE_END.join(lines) + _LINE_END).encode(ENCODING, "replace")
 
 
 def render_error(error: MemberFailure | Refusal) -> str:
-    """Return the line of an error, without its end.
+    """Return the line of an error, without its line end.
 
     Examples
     --------
@@ -198,20 +202,20 @@
     ['ERROR', 'BUSY']
     """
     if isinstance(error, MemberFailure):
-        return f"ERROR {error.word} {error.detail or OWN_ID}"
-    word = _WORD_BY_CODE.get(error.code.name)
-    if word is None:
-        word = _WORD_BY_OUTCOME[error.code.outcome]
-    return f"ERROR {word} {error.code.number} {error.describe()}"
+        return f"ERROR {error.word} {error.detail or EMPTY_FIELD}"
+    keyword = _KEYWORD_BY_CODE.get(error.code.name)
+    if keyword is None:
+        keyword = _KEYWORD_BY_OUTCOME[error.code.outcome]
+    return f"ERROR {keyword} {error.code.number} {error.describe()}"
 
 
 def format_position(position: Position | None) -> str:
-    """Return a position as members write it."""
+    """Return a position in the members' notation, "-" for none."""
     return "-" if position is None else f"{position.term}.{position.index}"
 
 
 def parse_position(text: str) -> Position | None:
-    """Return a position; None for "-" and what can't be read.
+    """Return a position; None for "-" and for invalid text.
 
     Examples
     --------
@@ -231,8 +235,9 @@
 ) -> str:
     """Return a statement's text for a member.
 
-    The text is the caller's own, but for the connection's name of a
-    prepared statement and the position that a read must wait for.
+    It is the caller's text with two changes: a prepared statement has the
+    name that it has on the connection, and the position that a read must
+    wait for is put in front.
     """
     text = statement.text
     if prepared_as:
@@ -243,8 +248,8 @@
 
 
 def query_line(request: str, text: str) -> str:
-    """Return the line, with its end, that asks a member for something."""
-    return f"QUERY {request} {text}{_END}"
+    """Return the line, with its line end, of a request to a member."""
+    return f"QUERY {request} {text}{_LINE_END}"
 
 
 def step_text(step: SetupStep) -> str:
@@ -266,25 +271,25 @@
     return f"PREPARE {step.name} {mode} {step.shape.text}"
 
 
-class ReplyParts:
-    """Collects the lines of a member's answer until it is whole."""
+class ReplyParser:
+    """Assembles a member's answer from its lines."""
 
     def __init__(self) -> None:
         self._rows: list[str] = []
         self._proof = ""
         self._failure: MemberFailure | None = None
-        self._is_decided = False
+        self._has_outcome = False
 
     def feed(self, line: str) -> Reply | None:
-        """Take in one line; return the answer once it is whole.
+        """Add one line; return the answer once it is complete.
 
         Raises
         ------
         ValueError
-            For a line that has no place here.
+            If the line isn't allowed at this point of an answer.
         """
-        word, _, rest = line.partition(" ")
-        if word == "READY" and self._is_decided:
+        keyword, _, rest = line.partition(" ")
+        if keyword == "READY" and self._has_outcome:
             state, _, position = rest.partition(" ")
             return Reply(
                 tuple(self._rows),
@@ -293,36 +298,36 @@
                 parse_position(position),
                 state != "I",
             )
-        if self._is_decided:
-            raise ValueError(f"unexpected {word!r}")
-        if word == "DATAROW":
+        if self._has_outcome:
+            raise ValueError(f"unexpected {keyword!r}")
+        if keyword == "DATAROW":
             self._rows.append(rest)
-        elif word == "COMPLETE":
+        elif keyword == "COMPLETE":
             self._proof = rest
-            self._is_decided = True
-        elif word == "ERROR":
+            self._has_outcome = True
+        elif keyword == "ERROR":
             self._failure = parse_failure(rest)
-            self._is_decided = True
+            self._has_outcome = True
         else:
-            raise ValueError(f"unexpected {word!r}")
+            raise ValueError(f"unexpected {keyword!r}")
         return None
 
 
 def parse_failure(rest: str) -> MemberFailure:
-    """Return what follows ERROR as a failure.
+    """Parse the part of an error line that follows ``ERROR``.
 
     Examples
     --------
     >>> parse_failure("LAGGING 3.1").kind.value
     'behind'
     """
-    word, _, detail = rest.partition(" ")
-    kind = _FAILURE_BY_WORD.get(word, FailureKind.OTHER)
-    return MemberFailure(kind, word, detail)
+    keyword, _, detail = rest.partition(" ")
+    kind = _FAILURE_BY_KEYWORD.get(keyword, FailureKind.OTHER)
+    return MemberFailure(kind, keyword, detail)
 
 
 def parse_status(row: str) -> StatusReport | None:
-    """Return the row of a member's report; None if it can't be read.
+    """Parse the row of a member's status; None if it is invalid.
 
     Examples
     --------
--- a/redwingpost/platform/member_link.py
+++ b/redwingpost/platform/member_link.py
@@ -1,4 +1,4 @@
-"""One connection to a member, in the members' line protocol."""
+"""Connections to members over the line protocol."""
 
 from asyncio import (
     CancelledError,
@@ -16,8 +16,8 @@
 from redwingpost.platform.lines import (
     ENCODING,
     MAX_MESSAGE_BYTES,
-    OWN_ID,
-    ReplyParts,
+    EMPTY_FIELD,
+    ReplyParser,
     parse_failure,
     parse_status,
     query_line,
@@ -61,32 +61,32 @@
         prepared_as: str = "",
         first: Prepare | None = None,
     ) -> Reply:
-        """Run a caller's statement once the member holds ``after``."""
+        """Run a caller's statement once the member has reached ``after``."""
         text = statement_text(statement, after, prepared_as)
         line = query_line(statement.request, text)
         if first is None:
             return (await self._exchange(line))[0]
-        prepare = query_line(OWN_ID, step_text(first))
+        prepare = query_line(EMPTY_FIELD, step_text(first))
         prepared, reply = await self._exchange(prepare, line)
         if prepared.failure is not None and reply.failure is not None:
             return reply._replace(failure=prepared.failure)
         return reply
 
     async def set_up(self, steps: tuple[SetupStep, ...]) -> tuple[Reply, ...]:
-        """Take all steps in one round trip; return their answers."""
-        lines = (query_line(OWN_ID, step_text(step)) for step in steps)
+        """Run all steps in one round trip; return their answers."""
+        lines = (query_line(EMPTY_FIELD, step_text(step)) for step in steps)
         return await self._exchange(*lines)
 
     async def roll_back(self) -> Reply:
         """Roll the open transaction back."""
-        return (await self._exchange(query_line(OWN_ID, "ROLLBACK")))[0]
+        return (await self._exchange(query_line(EMPTY_FIELD, "ROLLBACK")))[0]
 
     async def status(self) -> StatusReport | None:
-        """Ask for a report; None where the member refused."""
+        """Request the member's status; None if it refused."""
         return await self._report("STATUS")
 
     async def pause(self, term: int) -> StatusReport | None:
-        """Let the member take nothing from primaries below ``term``."""
+        """Stop the member from replicating primaries below ``term``."""
         return await self._report(f"PAUSE {term}")
 
     async def resume(self) -> StatusReport | None:
@@ -94,16 +94,16 @@
         return await self._report("RESUME")
 
     async def step_down(self, term: int) -> StatusReport | None:
-        """Make a primary of a lower term a replica."""
+        """Demote a primary of a lower term to a replica."""
         return await self._report(f"STEPDOWN {term}")
 
     def close(self) -> None:
-        """Close at once; an open transaction rolls back."""
+        """Close immediately; the member rolls back an open transaction."""
         self._is_broken = True
         self._writer.close()
 
     async def _report(self, command: str) -> StatusReport | None:
-        (reply,) = await self._exchange(query_line(OWN_ID, command))
+        (reply,) = await self._exchange(query_line(EMPTY_FIELD, command))
         if reply.failure is not None or not reply.rows:
             return None
         return parse_status(reply.rows[0])
@@ -111,8 +111,8 @@
     async def _exchange(self, *lines: str) -> tuple[Reply, ...]:
         """Send all lines at once; return the answer to each.
 
-        The member takes them one after the other, so that one round trip
-        does for all of them.
+        The member processes them in order, so that one round trip is
+        enough for all of them.
         """
         if not self.is_open:
             raise LinkLost("closed while idle", sent=False)
@@ -126,21 +126,21 @@
             self.close()
             raise LinkLost("answer too large", sent=True) from error
         except CancelledError:
-            # The answer is still to come and would be taken for that of
-            # the next statement.
+            # The answer is still outstanding and would be taken for that
+            # of the next statement.
             self.close()
             raise
 
     async def _receive(self) -> Reply:
-        parts = ReplyParts()
+        parser = ReplyParser()
         while True:
-            reply = parts.feed(await read_line(self._reader))
+            reply = parser.feed(await read_line(self._reader))
             if reply is not None:
                 return reply
 
 
 async def read_line(reader: StreamReader) -> str:
-    """Return the next line without its end."""
+    """Return the next line without its line end."""
     raw = await reader.readuntil(b"\r\n")
     return raw[:-2].decode(ENCODING)
 
@@ -151,7 +151,7 @@
     async def open(
         self, entry: MemberEntry, organisation: str, timeout_s: float
     ) -> LineLink | MemberFailure:
-        """Open a link, or say with what the member refused it."""
+        """Open a link, or return the member's refusal."""
         try:
             return await wait_for(self._open(entry, organisation), timeout_s)
         except (OSError, IncompleteReadError, TimeoutError) as error:
@@ -165,13 +165,13 @@
         )
         try:
             tune_socket(writer)
-            hello = f"STARTUP {entry.group} {organisation} {entry.member}\r\n"
-            writer.write(hello.encode(ENCODING, "replace"))
-            word, _, rest = (await read_line(reader)).partition(" ")
+            start = f"STARTUP {entry.group} {organisation} {entry.member}\r\n"
+            writer.write(start.encode(ENCODING, "replace"))
+            keyword, _, rest = (await read_line(reader)).partition(" ")
         except BaseException:
             writer.close()
             raise
-        if word == "READY":
+        if keyword == "READY":
             return LineLink(reader, writer, organisation)
         writer.close()
         return parse_failure(rest)
--- a/redwingpost/platform/orders.py
+++ b/redwingpost/platform/orders.py
@@ -1,4 +1,4 @@
-"""The platform's promotion calls."""
+"""HTTP client for the platform's promotion calls."""
 
 from msgspec.json import encode
 
@@ -6,12 +6,12 @@
 from redwingpost.observability.journal import log_event
 from redwingpost.ports.clock import Clock
 
-#: Seconds to wait for the platform's word; whether the order took effect
-#: shows at the member.
+#: Seconds to wait for the platform's answer. It need not be longer: the
+#: member's status shows whether the order took effect.
 _TIMEOUT_S = 1.0
 
 
-class PromotionCalls:
+class HttpPromotionOrders:
     """Implements ``PromotionOrders``."""
 
     def __init__(self, ip: str, port: int, clock: Clock) -> None:
@@ -20,7 +20,7 @@
     async def promote(
         self, group: str, member: str, holder: str, fence: int
     ) -> bool:
-        """Return whether the platform took the order."""
+        """Return whether the platform accepted the order."""
         headers = (
             ("Content-Type", "application/json"),
             ("X-Redwingpost-Duty-Holder", holder),
--- a/redwingpost/platform/settings.py
+++ b/redwingpost/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file as the product's node settings."""
+"""Decoder for the platform's settings file."""
 
 from pathlib import Path
 from typing import Any
@@ -11,7 +11,7 @@
 from redwingpost.core.requests import Refusal
 from redwingpost.node.settings import Endpoint, NodeSettings
 
-#: Variable that holds the path of the settings file.
+#: Environment variable that holds the path of the settings file.
 PATH_VARIABLE = "REDWINGPOST_NODE_FILE"
 
 _DEFAULT_DRAIN_MS = 7000
@@ -19,13 +19,13 @@
 
 
 class _SettingsError(Exception):
-    """A field that can't be used; the message names it."""
+    """A field has no valid value; the message names the field."""
 
 
 def load_node_settings(path: Path) -> Result[NodeSettings, Refusal]:
     """Return the settings, or ``Code.SETTINGS_INVALID`` with the field.
 
-    Fields that aren't known are ignored: the platform may add some.
+    Unknown fields are ignored, since the platform may add some.
     """
     try:
         return Ok(decode_node_settings(decode(path.read_bytes())))
@@ -36,16 +36,16 @@
 def decode_node_settings(value: dict[str, Any]) -> NodeSettings:
     """Return the settings of a decoded file."""
     if not isinstance(value, dict):
-        raise _SettingsError("allowed: a table")
-    bounds = _need(value, "bounds", dict)
-    ports = _need(value, "innerPorts", list)
+        raise _SettingsError("allowed: a JSON object")
+    bounds = _require_field(value, "bounds", dict)
+    ports = _require_field(value, "innerPorts", list)
     if len(ports) != 2 or ports[1] - ports[0] < 1:
         raise _SettingsError(f"innerPorts: {ports!r}; allowed: two or more")
     seeds = value.get("seeds") or []
     return NodeSettings(
-        vm=_need(value, "node", str),
-        data_centre=_need(value, "zone", str),
-        ip=_need(value, "ip", str),
+        vm=_require_field(value, "node", str),
+        data_centre=_require_field(value, "zone", str),
+        ip=_require_field(value, "ip", str),
         callers=_endpoint(value, "listen", "front"),
         readiness=_endpoint(value, "listen", "ready"),
         heartbeat_port=ports[0],
@@ -58,16 +58,18 @@
     )
 
 
-def _endpoint(value: dict[str, Any], table: str, name: str) -> Endpoint:
-    text = _need(_need(value, table, dict), name, str)
+def _endpoint(value: dict[str, Any], section: str, name: str) -> Endpoint:
+    text = _require_field(_require_field(value, section, dict), name, str)
     ip, _, port = text.rpartition(":")
     if not ip or not port.isdigit():
-        raise _SettingsError(f"{table}.{name}: {text!r}; allowed: IP:PORT")
+        raise _SettingsError(f"{section}.{name}: {text!r}; allowed: IP:PORT")
     return Endpoint(ip, int(port))
 
 
-def _need(value: dict[str, Any], name: str, kind: type) -> Any:
-    found = value.get(name)
-    if not isinstance(found, kind):
-        raise _SettingsError(f"{name}: {found!r}; allowed: {kind.__name__}")
-    return found
+def _require_field(value: dict[str, Any], name: str, field_type: type) -> Any:
+    field = value.get(name)
+    if not isinstance(field, field_type):
+        raise _SettingsError(
+            f"{name}: {field!r}; allowed: {field_type.__name__}"
+        )
+    return field
--- a/redwingpost/platform/store.py
+++ b/redwingpost/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's row store as the product's fleet store."""
+"""Client for the platform's row store: the product's fleet store."""
 
 from base64 import b64decode, b64encode
 from binascii import Error as Base64Error
@@ -26,14 +26,14 @@
     Write,
 )
 
-#: Seconds for one call: a slow store answers after some hundred
-#: milliseconds, and whoever waits has better to do after this.
+#: Seconds for one call. A slow store answers within a few hundred
+#: milliseconds; later the caller should rather try again or go on.
 CALL_TIMEOUT_S = 1.5
 
-#: Seconds beyond its wait after which a feed counts as dead.
+#: Seconds by which a feed request may exceed its wait before it fails.
 FEED_MARGIN_S = 1.0
 
-#: Rows of one answer; the store cuts longer ones off there.
+#: Rows per page; the store returns no more in one answer.
 _PAGE_ROWS = 500
 
 _JSON = (("Content-Type", "application/json"),)
@@ -45,9 +45,9 @@
     Parameters
     ----------
     ip, port : str, int
-        Where the store answers.
+        Address of the store.
     clock : Clock
-        For the age of connections.
+        Clock for the age of pooled connections.
     """
 
     def __init__(self, ip: str, port: int, clock: Clock) -> None:
@@ -72,7 +72,8 @@
             if not page.get("hasMore"):
                 answer = Snapshot(tuple(rows), page["ver"], page["nowMs"])
                 return Ok(answer)
-            # The range includes its start: the next key after the last.
+            # A range includes its start, so start at the smallest key
+            # after the last one read.
             start = rows[-1].key + "\0"
 
     async def changes(
@@ -91,7 +92,7 @@
             return Error(Refusal(Code.STORE_UNAVAILABLE, str(lost)))
         if answer.status == 410:
             return Ok(Changes((), 0, history_lost=True))
-        read = _read_answer(answer)
+        read = _decode_answer(answer)
         return read.map(_decode_changes)
 
     async def transact(
@@ -126,7 +127,7 @@
             rows = decode(answer.body).get("rows", [])
             conflicts = tuple(_decode_row(item) for item in rows)
             return Ok(TransactResult(False, (), conflicts))
-        read = _read_answer(answer)
+        read = _decode_answer(answer)
         return read.map(lambda got: TransactResult(True, (got["ver"],), ()))
 
     async def _get(self, target: str) -> Result[Any, Refusal]:
@@ -134,10 +135,10 @@
             answer = await self._calls.request("GET", target, CALL_TIMEOUT_S)
         except HttpLost as lost:
             return Error(Refusal(Code.STORE_UNAVAILABLE, str(lost)))
-        return _read_answer(answer)
+        return _decode_answer(answer)
 
 
-def _read_answer(answer: HttpAnswer) -> Result[Any, Refusal]:
+def _decode_answer(answer: HttpAnswer) -> Result[Any, Refusal]:
     if answer.status != 200:
         detail = f"status {answer.status}"
         return Error(Refusal(Code.STORE_UNAVAILABLE, detail))
@@ -148,7 +149,7 @@
 
 
 def _decode_row(item: dict[str, Any]) -> Row:
-    """Return a row; its value is None where it can't be read."""
+    """Return a row; its value is None if it can't be decoded."""
     try:
         value = decode(b64decode(item.get("value", ""), validate=True))
     except (Base64Error, DecodeError, ValueError):
--- a/redwingpost/platform/tests/test_boundary.py
+++ b/redwingpost/platform/tests/test_boundary.py
@@ -1,4 +1,4 @@
-"""Nothing outside ``platform/`` knows the platform's names."""
+"""No module outside ``platform/`` uses the platform's wire names."""
 
 from pathlib import Path
 from re import compile as re_compile
@@ -8,7 +8,7 @@
 
 ROOT = Path(redwingpost.__file__).parent
 
-#: Names of the platform's wire, as they stand there.
+#: Wire names of the platform.
 _NAMES = re_compile(
     r"X-Redwingpost|rows-(?:tx|get|feed)|blob-(?:put|get)|expectedRev"
     r"|putRows|deleteRows|coldLeftMs|ratePerS|apiKeys|routeType"
@@ -18,22 +18,22 @@
     r"|WRONGNODE|MAXCONN|EXECFAIL)\b"
 )
 
-#: Folders that play the platform, and tests.
-_MAY_KNOW = ("platform", "standin", "tests")
+#: Folders that may use the names: the stand-in plays the platform.
+_EXEMPT_FOLDERS = ("platform", "standin", "tests")
 
 
 class BoundaryTest(TestCase):
     def test_names_of_the_platform_stay_inside(self) -> None:
-        known = []
+        violations = []
         for path in sorted(ROOT.rglob("*.py")):
             parts = path.relative_to(ROOT).parts
-            if any(part in _MAY_KNOW for part in parts):
+            if any(part in _EXEMPT_FOLDERS for part in parts):
                 continue
             found = _NAMES.findall(path.read_text())
             if found:
-                known.append((str(path.relative_to(ROOT)), found))
-        self.assertEqual([], known)
+                violations.append((str(path.relative_to(ROOT)), found))
+        self.assertEqual([], violations)
 
     def test_the_check_can_fail(self) -> None:
-        inside = (ROOT / "platform" / "orders.py").read_text()
-        self.assertTrue(_NAMES.search(inside))
+        source = (ROOT / "platform" / "orders.py").read_text()
+        self.assertTrue(_NAMES.search(source))
--- a/redwingpost/platform/tests/test_decoding.py
+++ b/redwingpost/platform/tests/test_decoding.py
@@ -1,4 +1,4 @@
-"""Settings, entries and rows as the platform writes them."""
+"""Tests of the decoders for the platform's settings, entries and rows."""
 
 from json import dumps
 from pathlib import Path
@@ -86,9 +86,9 @@
         self.assertEqual((False, False, 17, 6), entry[5:])
 
     def test_entries_of_another_writer(self) -> None:
-        """Somebody else's rows lie among the members' entries.
+        """Another writer's row among the entries is taken for a member.
 
-        One of them must not end the node, nor name a member to use.
+        Such a row must neither stop the process nor name a member to use.
         """
         cases = [(name, {**MEMBER, name: None}) for name in MEMBER]
         cases = [case for case in cases if case[0] not in ("seq",)]
@@ -128,9 +128,9 @@
 
 class StoreTest(IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.outside = StandInStore()
-        port = await self.outside.start("127.0.0.1")
-        self.addAsyncCleanup(self.outside.stop)
+        self.stand_in = StandInStore()
+        port = await self.stand_in.start("127.0.0.1")
+        self.addAsyncCleanup(self.stand_in.stop)
         self.store = RowStore("127.0.0.1", port, MonotonicClock())
 
     async def test_conditions(self) -> None:
@@ -149,30 +149,30 @@
                 self.assertEqual(committed, done.ok.committed)
 
     async def test_changes_and_a_lost_history(self) -> None:
-        self.outside.put("t", "a", 1)
+        self.stand_in.put("t", "a", 1)
         snapshot = (await self.store.snapshot("t")).ok
-        self.outside.put("t", "b", 2)
-        self.outside.remove("t", "a")
+        self.stand_in.put("t", "b", 2)
+        self.stand_in.remove("t", "a")
         changes = (await self.store.changes("t", snapshot.version, 5.0)).ok
-        told = [(item.row.key, item.is_removed) for item in changes.changes]
-        self.assertEqual([("b", False), ("a", True)], told)
-        self.outside.rows.forget_history()
+        read = [(item.row.key, item.is_removed) for item in changes.changes]
+        self.assertEqual([("b", False), ("a", True)], read)
+        self.stand_in.rows.forget_history()
         lost = (await self.store.changes("t", snapshot.version, 5.0)).ok
         self.assertTrue(lost.history_lost)
 
     async def test_a_lost_answer_is_no_refusal(self) -> None:
-        """The store performs a write, and its answer is lost.
+        """The store applies a write, and its answer is lost.
 
-        Taken for a refusal, a VM would act as if it had no duty, while
-        the store says that it has.
+        If that counted as a refusal, a VM would act as if it didn't hold
+        the duty that the store has granted it.
         """
-        self.outside.faults.lose_answers = 1
+        self.stand_in.faults.lose_answers = 1
         done = await self.store.transact((), (Write("t", "k", {}),))
         self.assertEqual(Code.STORE_OUTCOME_UNKNOWN.name, done.error.code.name)
         self.assertEqual(1, len((await self.store.snapshot("t")).ok.rows))
 
     async def test_a_store_that_refuses(self) -> None:
-        self.outside.faults.is_down = True
+        self.stand_in.faults.is_down = True
         for call in (
             self.store.snapshot("t"),
             self.store.changes("t", 0, 1.0),
@@ -184,6 +184,6 @@
 
     async def test_many_rows(self) -> None:
         for number in range(700):
-            self.outside.put("t", f"{number:04}", number)
+            self.stand_in.put("t", f"{number:04}", number)
         snapshot = (await self.store.snapshot("t")).ok
         self.assertEqual(700, len(snapshot.rows))
--- a/redwingpost/platform/tests/test_lines.py
+++ b/redwingpost/platform/tests/test_lines.py
@@ -1,4 +1,4 @@
-"""Lines of callers and members."""
+"""Tests of the line protocol of callers and members."""
 
 from unittest import TestCase
 
@@ -11,7 +11,7 @@
 from redwingpost.core.statements import Answer, Shape, StatementKind
 from redwingpost.platform.lines import (
     Malformed,
-    ReplyParts,
+    ReplyParser,
     Startup,
     Terminate,
     parse_caller_line,
@@ -24,8 +24,15 @@
 from redwingpost.ports.database import FailureKind, MemberFailure
 from redwingpost.statements.session import Phase
 
-#: What a refusal that promises "nothing is kept" may be told with.
-_PROMISES = {"BUSY", "ABORTED", "LAGGING", "AUTHFAIL", "NODB", "TOOLARGE"}
+#: Error keywords that promise that the statement had no effect.
+_DEFINITE_ERRORS = {
+    "BUSY",
+    "ABORTED",
+    "LAGGING",
+    "AUTHFAIL",
+    "NODB",
+    "TOOLARGE",
+}
 
 
 class CallerLineTest(TestCase):
@@ -62,9 +69,10 @@
                 self.assertEqual(expected, parse_caller_line(line))
 
     def test_what_is_refused(self) -> None:
-        """A statement hides another, or poses as the system's own.
+        """A line hides a second statement or poses as the proxy's own.
 
-        Passed on, a member would run what nobody may ask for.
+        If it were passed on, the member would run a statement that callers
+        aren't allowed to send.
         """
         cases = (
             "",
@@ -103,25 +111,25 @@
             (Phase.IN_TRANSACTION, "T"),
             (Phase.FAILED, "E"),
         )
-        for phase, word in cases:
+        for phase, state in cases:
             with self.subTest(phase):
-                told = render_answer(Answer(), phase, None).decode()
-                self.assertEqual(f"READY {word} -\r\n", told[-11:])
+                answer = render_answer(Answer(), phase, None).decode()
+                self.assertEqual(f"READY {state} -\r\n", answer[-11:])
 
-    def test_promises_are_told_only_where_they_hold(self) -> None:
-        """A refusal says that nothing is kept although it may be.
+    def test_an_unknown_outcome_gets_no_definite_error(self) -> None:
+        """A refusal says "no effect" although the statement may have run.
 
         The caller sends the order again, and it is stored twice.
         """
         unknown = {"unknown"}
         for name, code in CODES_BY_NAME.items():
             with self.subTest(name):
-                word = render_error(Refusal(code)).split()[1]
+                keyword = render_error(Refusal(code)).split()[1]
                 is_unknown = code.outcome.value in unknown
                 if is_unknown:
-                    self.assertNotIn(word, _PROMISES)
+                    self.assertNotIn(keyword, _DEFINITE_ERRORS)
 
-    def test_words_of_refusals(self) -> None:
+    def test_keywords_of_refusals(self) -> None:
         cases = (
             (Code.OVER_RATE, "BUSY"),
             (Code.NO_PRIMARY, "BUSY"),
@@ -133,13 +141,15 @@
             (Code.TIMED_OUT, "TIMEOUT"),
             (Code.TOO_LARGE, "TOOLARGE"),
         )
-        for code, word in cases:
+        for code, keyword in cases:
             with self.subTest(code.name):
-                self.assertEqual(word, render_error(Refusal(code)).split()[1])
+                self.assertEqual(
+                    keyword, render_error(Refusal(code)).split()[1]
+                )
 
     def test_a_members_error_is_passed_on(self) -> None:
-        failure = MemberFailure(FailureKind.FAILED, "EXECFAIL", "why so")
-        self.assertEqual("ERROR EXECFAIL why so", render_error(failure))
+        failure = MemberFailure(FailureKind.FAILED, "EXECFAIL", "bad value")
+        self.assertEqual("ERROR EXECFAIL bad value", render_error(failure))
 
 
 class MemberLineTest(TestCase):
@@ -155,14 +165,14 @@
         )
         for statement, after, name, expected in cases:
             with self.subTest(expected):
-                told = statement_text(statement, after, name)
-                self.assertEqual(expected, told)
+                text_ = statement_text(statement, after, name)
+                self.assertEqual(expected, text_)
 
     def test_a_whole_answer(self) -> None:
-        parts = ReplyParts()
-        self.assertIsNone(parts.feed("DATAROW a b"))
-        self.assertIsNone(parts.feed("COMPLETE 7.x"))
-        reply = parts.feed("READY T 3.9")
+        parser = ReplyParser()
+        self.assertIsNone(parser.feed("DATAROW a b"))
+        self.assertIsNone(parser.feed("COMPLETE 7.x"))
+        reply = parser.feed("READY T 3.9")
         self.assertEqual((("a b",), "7.x"), reply[:2])
         self.assertEqual(Position(3, 9), reply.position)
         self.assertTrue(reply.in_transaction)
@@ -176,14 +186,14 @@
         )
         for lines in cases:
             with self.subTest(lines), self.assertRaises(ValueError):
-                parts = ReplyParts()
+                parser = ReplyParser()
                 for line in lines:
-                    parts.feed(line)
+                    parser.feed(line)
 
     def test_positions(self) -> None:
-        for told in ("-", "", "3", "3.", ".3", "x.1", "3.-1"):
-            with self.subTest(told):
-                self.assertIsNone(parse_position(told))
+        for text_ in ("-", "", "3", "3.", ".3", "x.1", "3.-1"):
+            with self.subTest(text_):
+                self.assertIsNone(parse_position(text_))
 
     def test_reports_that_cant_be_read(self) -> None:
         for row in ("", "replica", "replica 3 - 0 1 2 3", "primary a 3.1 0"):
--- a/redwingpost/platform/tests/test_member_link.py
+++ b/redwingpost/platform/tests/test_member_link.py
@@ -1,4 +1,4 @@
-"""One connection to a member: what goes out together, what comes back."""
+"""Tests of a connection to a member: pipelining and answers."""
 
 from asyncio import StreamReader, StreamWriter, start_server
 from unittest import IsolatedAsyncioTestCase
@@ -15,14 +15,14 @@
 
 
 class ScriptedMember:
-    """Answers nothing before it has as many lines as it has answers."""
+    """Sends its answers only after it has received a line for each."""
 
     def __init__(self, answers: list[str]) -> None:
         self.lines: list[str] = []
         self._answers = answers
 
     async def serve(self, reader: StreamReader, writer: StreamWriter) -> None:
-        """Take the start, then all lines, then give all answers."""
+        """Accept STARTUP, read all lines, then send all answers."""
         await reader.readuntil(b"\r\n")
         writer.write(b"READY I -\r\n")
         for _ in self._answers:
@@ -45,11 +45,11 @@
         self.addCleanup(link.close)
         return link
 
-    async def test_all_set_up_steps_travel_together(self) -> None:
-        """A session's values differ from those on the connection.
+    async def test_all_set_up_steps_are_sent_together(self) -> None:
+        """Set-up steps are sent one by one, each after the last answer.
 
-        Step by step the caller would wait one round trip for each; here
-        the member answers none before it has all.
+        The caller would wait one round trip for each. This member answers
+        none before it has received all.
         """
         link = await self._open(["COMPLETE -"] * 3)
         steps = (Discard(), SetValue("a", "1"), SetValue("b", "2"))
@@ -66,11 +66,11 @@
         kinds = [r.failure and r.failure.kind for r in replies]
         self.assertEqual([None, FailureKind.FULL], kinds)
 
-    async def test_a_shape_is_prepared_on_the_way(self) -> None:
-        """The connection lacks what a caller executes.
+    async def test_a_shape_is_prepared_before_its_execution(self) -> None:
+        """A member refuses to prepare the shape that a caller executes.
 
-        A shape that the member refused must show as that refusal: the
-        caller prepared its name and would be told that there is none.
+        The caller must get that refusal: "not prepared" would be wrong
+        for a name that it has prepared.
         """
         cases = (
             (["COMPLETE -", "COMPLETE 1.p"], None),
