--- a/redwingpost/wire/__init__.py
+++ b/redwingpost/wire/__init__.py
@@ -1,5 +1,5 @@
-"""The protocols between the system's own processes.
+"""Protocols between the system's own processes.
 
-Nothing is re-exported: compiling the schema of the RPC takes 6% of a
-node's start (by ``-X importtime``), and a node sends heartbeats only.
+Nothing is re-exported: a node doesn't need the RPC schema, and compiling
+it would take 6% of the node's start-up time.
 """
--- a/redwingpost/wire/codec.py
+++ b/redwingpost/wire/codec.py
@@ -1,7 +1,8 @@
-"""Between the wire's structs and the records of the decision modules.
+"""Conversion between RPC structs and the records of the decision modules.
 
-Structs are written as plain dicts, which pycapnp copies into a message;
-readers are copied out at once, since they hold their whole message.
+Structs are built as plain dicts, which pycapnp copies into a message.
+Readers are copied out immediately, since each keeps its whole message in
+memory.
 """
 
 from collections.abc import Iterable
@@ -15,14 +16,16 @@
 from redwingpost.core import GroupView, Position
 from redwingpost.membership.beats import Beat
 
-#: Largest age that the wire carries (milliseconds); stands for "never".
+#: Largest age in a message (milliseconds); stands for "never".
 MAX_AGE_MS = 2**32 - 1
 
 
 class Digest(NamedTuple):
-    """What an agent holds, in a few numbers, to compare with another.
+    """Summary of an agent's state, for comparison with another agent.
 
-    ``confirmed_ms`` is the age of its last key confirmation.
+    The marks are checksums of the withdrawals, the views of the groups
+    and the members. ``confirmed_ms`` is the age of the last key
+    confirmation.
     """
 
     version: int
@@ -33,7 +36,7 @@
 
 
 def to_age_ms(seconds: float) -> int:
-    """Return an age for the wire.
+    """Return an age in milliseconds, limited to 0 and ``MAX_AGE_MS``.
 
     Examples
     --------
@@ -122,14 +125,14 @@
 
 
 def decode_version(reader: Any) -> Versioned:
-    """Return a configuration as it travels; empty if it is broken."""
+    """Return a configuration; its body is empty if it can't be inflated."""
     body = _inflate(bytes(reader.body))
     return Versioned(reader.version, reader.hash, body)
 
 
 @lru_cache(maxsize=2)
 def _deflate(body: bytes) -> bytes:
-    """Return a body deflated; a relay sends the same one many times.
+    """Return a body deflated; cached, as a relay sends it many times.
 
     A configuration of 1,300 groups shrinks from 820 to 60 KB.
     """
@@ -137,9 +140,10 @@
 
 
 def _inflate(deflated: bytes) -> bytes:
-    """Return a body, or nothing where it is broken or too large.
+    """Return a body, or empty bytes if it can't be inflated.
 
-    Without the limit a few bytes of a broken peer could fill the memory.
+    The output is truncated at ``MAX_BODY_BYTES``: otherwise a few bytes
+    from a faulty peer could fill the memory.
     """
     try:
         return decompressobj().decompress(deflated, MAX_BODY_BYTES)
@@ -150,7 +154,7 @@
 def encode_withdrawals(
     withdrawals: Iterable[Withdrawal],
 ) -> list[dict[str, Any]]:
-    """Return withdrawals' structs."""
+    """Return the structs of withdrawals."""
     return [
         {"organisation": item.organisation, "keyHash": item.key_hash}
         for item in sorted(withdrawals)
@@ -165,7 +169,7 @@
 
 
 def encode_views(views: Iterable[GroupView]) -> list[dict[str, Any]]:
-    """Return views' structs."""
+    """Return the structs of group views."""
     return [
         {
             "group": view.group,
@@ -181,7 +185,7 @@
 
 
 def decode_views(readers: Any) -> tuple[GroupView, ...]:
-    """Return views."""
+    """Return group views."""
     return tuple(
         GroupView(
             group=view.group,
--- a/redwingpost/wire/digest.py
+++ b/redwingpost/wire/digest.py
@@ -1,4 +1,4 @@
-"""A gatherer's digest as a part of a message."""
+"""Conversion of a gatherer's digest to and from a Cap'n Proto struct."""
 
 from math import isnan, nan
 
@@ -14,7 +14,7 @@
 
 
 def fill_digest(message, digest: Digest) -> None:
-    """Write a digest into an empty message.
+    """Write a digest into an empty struct.
 
     Examples
     --------
@@ -53,7 +53,7 @@
 
 
 def read_digest(message) -> Digest:
-    """Return the digest that a message holds."""
+    """Return the digest that a struct holds."""
     clocks = zip(message.echoClocksMs, message.echoHeldMs)
     return Digest(
         message.vm,
@@ -144,7 +144,7 @@
     message.admitted = list(columns[2])
     message.offered = list(columns[3])
     message.returned = list(columns[4])
-    message.tokens = [nan if told is None else told for told in columns[5]]
+    message.tokens = [nan if item is None else item for item in columns[5]]
     message.newlyUsed = [max(0, used) for used in columns[6]]
     message.newlyOffered = list(columns[7])
 
@@ -156,7 +156,7 @@
         message.admitted,
         message.offered,
         message.returned,
-        (None if isnan(told) else told for told in message.tokens),
+        (None if isnan(item) else item for item in message.tokens),
         message.newlyUsed,
         message.newlyOffered,
     )
--- a/redwingpost/wire/forwarding.py
+++ b/redwingpost/wire/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarded statements and answers, to and from the wire's structs."""
+"""Conversion of forwarded statements and answers to and from structs."""
 
 from typing import Any
 
@@ -25,7 +25,7 @@
 
 
 def encode_marks(marks: Marks) -> bytes:
-    """Return the marks that are set, as texts by name."""
+    """Return the marks that are set as a MessagePack map of texts."""
     texts = {
         name: str(value)
         for name, value in marks._asdict().items()
@@ -35,14 +35,14 @@
 
 
 def decode_marks(body: bytes) -> dict[str, str]:
-    """Return marks as texts by name, as query attributes come."""
+    """Return marks as texts by name, in the form of query attributes."""
     return _MARKS.decode(body) if body else {}
 
 
 def encode_positions(
     positions_by_group: dict[str, Position],
 ) -> list[dict[str, Any]]:
-    """Return positions as structs."""
+    """Return the structs of positions."""
     return [
         {"group": group, "position": position._asdict()}
         for group, position in positions_by_group.items()
@@ -58,9 +58,12 @@
 
 
 def encode_answer(answer: Answer) -> dict[str, Any]:
-    """Return an answer's struct, positions left out."""
+    """Return an answer's struct without the positions."""
     if answer.is_ok():
-        return {"code": 0, "result": _ENCODER.encode(_keep(answer.ok))}
+        return {
+            "code": 0,
+            "result": _ENCODER.encode(_encode_invalid_text(answer.ok)),
+        }
     error = answer.error
     if isinstance(error, MemberError):
         return {"code": error.number, "message": error.message}
@@ -71,13 +74,15 @@
     }
 
 
-def _keep(result: StatementResult) -> StatementResult:
-    # Text that isn't UTF-8 can't be a MessagePack string.
-    rows = tuple(tuple(_safe(value) for value in row) for row in result.rows)
+def _encode_invalid_text(result: StatementResult) -> StatementResult:
+    # MessagePack strings must be UTF-8; other text is sent as bytes.
+    rows = tuple(
+        tuple(_to_encodable(value) for value in row) for row in result.rows
+    )
     return result._replace(rows=rows)
 
 
-def _safe(value: Any) -> Any:
+def _to_encodable(value: Any) -> Any:
     if isinstance(value, str) and not value.isascii():
         try:
             value.encode()
--- a/redwingpost/wire/heartbeat.capnp
+++ b/redwingpost/wire/heartbeat.capnp
@@ -1,7 +1,7 @@
 @0xd6a1f0c27b8e4935;
 
-# Between VMs: heartbeats, and what gatherers make of them. One datagram
-# each.
+# Messages between VMs: heartbeats, and the digests that gatherers merge
+# from them. Each message is one datagram.
 
 struct Message {
   union {
@@ -17,41 +17,44 @@
   usages @3 :List(Usage);
   primaries @4 :List(Primary);
   clockMs @5 :UInt64;
-  # The sender's steady clock as it sent this.
+  # The sender's monotonic clock when it sent this message.
   echo @6 :Echo;
-  # The receiver's clock, as it was last heard.
+  # The receiver's clock as last received from it.
   isBrief @7 :Bool;
-  # Without primaries: what was last said of them still holds.
+  # Without the health of primaries, because all are well.
   wantsUsages @8 :Bool;
-  # The reader is to tell the sender what the others have used.
+  # The receiver should send the sender the other VMs' usage.
   isUrgent @9 :Bool;
-  # Much was admitted lately: the others must know soon.
+  # Much was admitted recently, and the other VMs must know soon.
 }
 
 struct Digest {
   vm @0 :Text;
   boot @1 :UInt64;
   isFleet @2 :Bool;
-  # Of all cells, for those that report to the sender; else of its own.
+  # The digest covers all cells, for the VMs that report to the sender;
+  # otherwise only the sender's own cell.
   isBrief @3 :Bool;
   clockMs @4 :UInt64;
   cells @5 :List(Cell);
   primaries @6 :List(MergedPrimary);
   samples @7 :List(Sample);
   echoVms @8 :List(UInt32);
-  # Numbers of the readers, and for each its clock as it was last heard.
+  # Numbers of the receivers; the next two lists hold, for each of them,
+  # its clock as last received and the milliseconds since then.
   echoClocksMs @9 :List(UInt64);
   echoHeldMs @10 :List(UInt32);
   usages @11 :Usages;
   isUrgent @12 :Bool;
-  # To be passed on soon.
+  # To be forwarded without delay.
 }
 
 struct Cell {
   name @0 :Text;
   ageMs @1 :UInt32;
   vms @2 :List(UInt32);
-  # Empty where they are those that were last told with vmsNumber.
+  # Numbers of the cell's VMs; empty if they are the same as when they
+  # were last sent with this vmsNumber.
   configVersion @3 :UInt64;
   configIp @4 :Text;
   reached @5 :UInt16;
@@ -85,34 +88,35 @@
   offered @6 :List(UInt64);
   returned @7 :List(UInt64);
   tokens @8 :List(Float32);
-  # The whole bucket as the VM sees it; not a number where it doesn't say.
+  # The VM's estimate of the whole token bucket; NaN if it has none.
   newlyUsed @9 :List(UInt32);
   newlyOffered @10 :List(UInt32);
-  # Since the VM's report before this one.
+  # newlyUsed and newlyOffered count since the VM's previous report.
 }
 
 struct Echo {
-  # A clock that was heard, and for how long it was held; 0 for none.
+  # A clock as last received, and the milliseconds since then; a clockMs
+  # of 0 means that there is none.
   clockMs @0 :UInt64;
   heldMs @1 :UInt32;
 }
 
 struct Usage {
-  # Operations at the VM since its start.
+  # Counts of operations at the VM since its start.
   organisation @0 :Text;
   admitted @1 :UInt64;
   offered @2 :UInt64;
   returned @3 :UInt64;
   tokens @4 :Float32;
-  # The whole bucket as the VM sees it, if isTold.
+  # The VM's estimate of the whole token bucket, valid if isTold.
   isTold @5 :Bool;
   newlyUsed @6 :UInt32;
   newlyOffered @7 :UInt32;
-  # Since the VM's report before this one.
+  # newlyUsed and newlyOffered count since the VM's previous report.
 }
 
 struct Primary {
-  # How a primary does by the VM's experience, in milliseconds.
+  # A primary's health as the VM observes it, in milliseconds.
   member @0 :Text;
   silentMs @1 :UInt32;
   stuckMs @2 :UInt32;
@@ -121,6 +125,6 @@
   sampleTerm @5 :UInt64;
   sampleIndex @6 :UInt64;
   sampleAgeMs @7 :UInt32;
-  # All that was acknowledged before the age is in the position; an age of
-  # 0 means that there is none.
+  # The sampled position includes every transaction acknowledged before
+  # the sample was taken; an age of 0 means that there is no sample.
 }
--- a/redwingpost/wire/heartbeat.py
+++ b/redwingpost/wire/heartbeat.py
@@ -1,4 +1,4 @@
-"""Heartbeats and digests as datagrams: pack and unpack, once each."""
+"""Conversion of heartbeats and digests to and from datagrams."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -17,17 +17,18 @@
 from redwingpost.wire.digest import fill_digest, read_digest
 from redwingpost.wire.heartbeat_schema import SCHEMA
 
-#: Bytes of a datagram, at most: a larger one is sent as several packets,
-#: and is lost with any of them.
+#: Largest datagram in bytes: a larger one is sent as several packets, and
+#: the loss of any one loses them all.
 MAX_DATAGRAM_BYTES = 1400
 
 
 def pack_heartbeats(
     heartbeat: Heartbeat, usages: tuple[Usage, ...]
 ) -> Iterator[bytes]:
-    """Yield a heartbeat's datagrams, each of them small enough.
+    """Yield a heartbeat's datagrams, split by ``MAX_DATAGRAM_BYTES``.
 
-    Counters merge in any order, so that those which don't fit follow.
+    Counters can be merged in any order, so those that don't fit are sent
+    in further datagrams.
     """
     datagram = pack_heartbeat(heartbeat, usages)
     if len(datagram) <= MAX_DATAGRAM_BYTES or not usages:
@@ -42,7 +43,7 @@
 def pack_digests(
     digest: Digest, usages: tuple[VmUsage, ...]
 ) -> Iterator[bytes]:
-    """Yield a digest's datagrams with some counters, as ``pack_heartbeats``.
+    """Yield a digest's datagrams, split as in ``pack_heartbeats``.
 
     Examples
     --------
@@ -58,8 +59,8 @@
     >>> sum(len(part.rows) for part in parts)
     300
     """
-    told = digest._replace(usages=UsageTable.from_usages(usages))
-    datagram = pack_digest(told)
+    filled = digest._replace(usages=UsageTable.from_usages(usages))
+    datagram = pack_digest(filled)
     if len(datagram) <= MAX_DATAGRAM_BYTES or not usages:
         yield datagram
         return
@@ -115,14 +116,14 @@
 
 
 def unpack(datagram: bytes, ip: str) -> HeartbeatWithUsages | Digest | None:
-    """Return what a datagram says; None where it can't be read.
+    """Return the message in a datagram; None if it can't be decoded.
 
     Parameters
     ----------
     datagram : bytes
-        What arrived.
+        The received bytes.
     ip : str
-        Where it came from: a VM need not say so itself.
+        The sender's address, which the datagram itself doesn't contain.
 
     Examples
     --------
@@ -166,14 +167,14 @@
 
 
 def _pack_usage(usage: Usage) -> dict:
-    is_told = usage.tokens is not None
+    has_tokens = usage.tokens is not None
     return {
         "organisation": usage.organisation,
         "admitted": usage.admitted,
         "offered": usage.offered,
         "returned": usage.returned,
-        "tokens": usage.tokens if is_told else 0.0,
-        "isTold": is_told,
+        "tokens": usage.tokens if has_tokens else 0.0,
+        "isTold": has_tokens,
         "newlyUsed": max(0, usage.newly_used),
         "newlyOffered": usage.newly_offered,
     }
--- a/redwingpost/wire/node.capnp
+++ b/redwingpost/wire/node.capnp
@@ -1,6 +1,6 @@
 @0xb3c5d1c1f0a9e7d2;
-# Messages between the processes of the system. Each interface belongs to
-# one concern; Node, the bootstrap interface, hands them out.
+# RPC interfaces between the processes of the system. Each interface covers
+# one concern; Node, the bootstrap interface, returns the others.
 
 struct Position {
   term @0 :UInt64;
@@ -15,7 +15,8 @@
 }
 
 struct Beat {
-  # What a VM says of itself; the higher (incarnation, sequence) wins.
+  # A VM's heartbeat; the one with the highest (incarnation, sequence) is
+  # the newest.
   vm @0 :Text;
   dataCentre @1 :Text;
   ip @2 :Text;
@@ -30,7 +31,7 @@
   ageMs @11 :UInt32;
   proxyVersion @12 :UInt64;  # configuration in force at the VM's proxy
   proxyAttached @13 :Bool;   # the proxy polls its agent
-  gone @14 :Bool;            # its data centre's relay no longer hears it
+  gone @14 :Bool;            # its data centre's relay receives no heartbeats
   relay @15 :Bool;           # acts as its data centre's relay
 }
 
@@ -44,9 +45,9 @@
   configHash @1 :Text;
   withdrawals @2 :UInt32;
   views @3 :List(GroupView);
-  viewsMark @4 :UInt32;      # sum over all views known
+  viewsMark @4 :UInt32;      # checksum of all known views
   confirmedMs @5 :UInt32;    # age of the last key confirmation
-  membersMark @6 :UInt32;    # sum over all VMs that are there
+  membersMark @6 :UInt32;    # checksum of all present VMs
 }
 
 struct Configuration {
@@ -84,7 +85,7 @@
 }
 
 struct Feed {
-  # What an agent tells the proxy of its VM.
+  # State that an agent sends to its VM's proxy.
   configuration @0 :Configuration;
   withdrawals @1 :List(Withdrawal);
   views @2 :List(GroupView);
@@ -96,7 +97,7 @@
 }
 
 struct BaseShare {
-  # A part of an organisation's rate that the table service granted.
+  # A share of an organisation's rate, granted by the table service.
   organisation @0 :Text;
   partsPerMillion @1 :UInt32;
   epoch @2 :UInt64;
@@ -119,7 +120,7 @@
 }
 
 interface Lending {
-  # Shares of rates and knowledge of sessions (between proxies).
+  # Loans of rate shares (between proxies).
   borrow @0 (vm :Text, incarnation :UInt64, organisation :Text,
              partsPerMillion :UInt32, microTokens :UInt64) -> (loan :Loan);
   giveBack @1 (vm :Text, loan :UInt64, partsPerMillion :UInt32,
@@ -133,8 +134,8 @@
 }
 
 struct ForwardedStatement {
-  # sql may hold bytes that are no UTF-8; marks is a map of texts, as
-  # query attributes are, in MessagePack.
+  # sql may hold bytes that are not UTF-8; marks is a MessagePack map of
+  # texts, in the form of query attributes.
   sql @0 :Data;
   marks @1 :Data;
   autocommit @2 :Bool;
@@ -144,7 +145,7 @@
 }
 
 struct ForwardedAnswer {
-  # code 0 is success; result then holds columns and rows in MessagePack.
+  # Code 0 is success; result then holds columns and rows in MessagePack.
   code @0 :UInt16;
   message @1 :Text;
   retryAfterMs @2 :UInt32;
@@ -155,14 +156,14 @@
 }
 
 interface ForwardedSession {
-  # One caller's connection, as a home VM of its group serves it. Letting
-  # go of the capability ends it: what is open is rolled back.
+  # One caller's connection, served by a home VM of its group. Releasing
+  # the capability ends it, and an open transaction is rolled back.
   run @0 (statement :ForwardedStatement) -> (answer :ForwardedAnswer);
   end @1 () -> ();
 }
 
 interface Forward {
-  # Statements for groups whose home the caller's VM isn't.
+  # Forwards statements from the caller's VM to a home of the group.
   open @0 (organisation :Text, keyHash :Text, group :Text,
            connection :UInt64) -> (session :ForwardedSession);
 }
--- a/redwingpost/wire/pages.py
+++ b/redwingpost/wire/pages.py
@@ -1,10 +1,9 @@
-"""Bodies of the pages that VMs show each other: compressed JSON.
+"""Bodies of the HTTP pages that VMs read from each other: compressed JSON.
 
-Load pattern: a configuration of two thousand routes is half a megabyte,
-and one VM on a link of 10 Mbit/s hands it to twenty others. As plain text
-it is in force at the last of them after nine seconds, and the heartbeats
-behind it are late. Its lines resemble each other, so a tenth of the bytes
-does.
+A configuration of 2,000 routes is 0.5 MB, and one VM on a 10 Mbit/s link
+sends it to 20 others. Uncompressed it would take 9 s to be in force at
+the last of them, and the heartbeats queued behind it would be late. Its
+lines are similar, so compression leaves a tenth of the bytes.
 """
 
 from typing import Any
@@ -13,26 +12,26 @@
 from msgspec import DecodeError
 from msgspec.json import decode, encode
 
-#: The fastest; better levels save few of the bytes that are left.
-_LEVEL = 1
+#: The fastest level; higher ones save little more.
+_COMPRESSION_LEVEL = 1
 
-#: Bytes of a page when unpacked; the largest configuration is far below.
-_MAX_BYTES = 64 * 1024 * 1024
+#: Largest unpacked page in bytes; real configurations are far smaller.
+_MAX_UNPACKED_BYTES = 64 * 1024 * 1024
 
 
 class PageError(Exception):
-    """A body that can't be read."""
+    """A body can't be decoded."""
 
 
 def pack_page(value: Any) -> bytes:
-    """Return a value as a page's body.
+    """Return the page body of a value.
 
     Examples
     --------
     >>> unpack_page(pack_page({"version": 7}))
     {'version': 7}
     """
-    return compress(encode(value), _LEVEL)
+    return compress(encode(value), _COMPRESSION_LEVEL)
 
 
 def unpack_page(body: bytes) -> Any:
@@ -41,13 +40,13 @@
     Raises
     ------
     PageError
-        If the body was cut short or isn't such a page.
+        If the body is truncated, too large or not compressed JSON.
     """
-    unpacking = decompressobj()
+    inflater = decompressobj()
     try:
-        text = unpacking.decompress(body, _MAX_BYTES)
-        if not unpacking.eof:
-            raise PageError("cut short, or too large")
+        text = inflater.decompress(body, _MAX_UNPACKED_BYTES)
+        if not inflater.eof:
+            raise PageError("truncated or too large")
         return decode(text)
     except (ZlibError, DecodeError) as error:
         raise PageError(str(error)) from error
--- a/redwingpost/wire/tests/test_codec.py
+++ b/redwingpost/wire/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Tests of the records that travel between processes."""
+"""Tests of the conversion of records to and from RPC structs."""
 
 from unittest import TestCase
 
@@ -8,8 +8,8 @@
 from redwingpost.wire.codec import decode_version, encode_version
 
 
-def carry(struct):
-    """Return a configuration's struct as the other side reads it."""
+def to_reader(struct):
+    """Return a configuration's struct as the receiver reads it."""
     return SCHEMA.Configuration.new_message(**struct)
 
 
@@ -18,18 +18,18 @@
         for body in (b"", b"{}", b"x" * 100_000):
             version = Versioned(7, hash_body(body), body)
             with self.subTest(size=len(body)):
-                read = decode_version(carry(encode_version(version)))
+                read = decode_version(to_reader(encode_version(version)))
                 self.assertEqual(read, version)
 
     def test_bodies_that_are_broken_or_too_large(self):
-        # A peer with a fault sends half a body, or one that would fill
-        # the memory when it is inflated. Neither may be taken, nor end
-        # the process.
+        # A faulty peer sends half a body, or one that would fill the
+        # memory when inflated. Neither may be accepted or stop the
+        # process.
         body = b"0" * (MAX_BODY_BYTES + 1)
         large = encode_version(Versioned(7, hash_body(body), body))
         whole = encode_version(Versioned(7, "", b"some body"))
         for data in (large["body"], whole["body"][:-6], b"no", b""):
             with self.subTest(size=len(data)):
-                read = decode_version(carry({**large, "body": data}))
+                read = decode_version(to_reader({**large, "body": data}))
                 self.assertFalse(read.is_intact())
                 self.assertLessEqual(len(read.body), MAX_BODY_BYTES)
--- a/redwingpost/wire/tests/test_pages.py
+++ b/redwingpost/wire/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""Bodies of the pages that VMs show each other."""
+"""Tests of the page bodies that VMs read from each other."""
 
 from unittest import TestCase
 
@@ -6,13 +6,14 @@
 
 from redwingpost.wire.pages import PageError, pack_page, unpack_page
 
-#: The slowest link of today and the VMs that one VM hands a page to.
+#: The slowest link, and the number of VMs to which one VM sends a page.
 _LINK_MBPS = 5.0
-_READERS = 20
+_RECEIVERS = 20
 
-#: Seconds within which a configuration must be in force, less what the
-#: store, the heartbeats and the readers need.
-_HAND_ON_S = 2.0
+#: Seconds for the transfer: the time within which a configuration must be
+#: in force, less the time that the store, the heartbeats and the receivers
+#: need.
+_TRANSFER_LIMIT_S = 2.0
 
 
 def _configuration(routes: int) -> dict:
@@ -36,11 +37,11 @@
 
 class PagesTest(TestCase):
     def test_a_large_configuration_fits_a_slow_link(self) -> None:
-        """Guards against a configuration that is late at neighbours."""
+        """A configuration takes too long to reach the other VMs."""
         value = _configuration(2000)
         body = pack_page(value)
-        seconds = len(body) * 8 * _READERS / (_LINK_MBPS * 1e6)
-        self.assertLess(seconds, _HAND_ON_S)
+        seconds = len(body) * 8 * _RECEIVERS / (_LINK_MBPS * 1e6)
+        self.assertLess(seconds, _TRANSFER_LIMIT_S)
         self.assertEqual(value, unpack_page(body))
 
     def test_a_body_that_cannot_be_read(self) -> None:
--- a/redwingpost/wire/work.capnp
+++ b/redwingpost/wire/work.capnp
@@ -1,7 +1,7 @@
 @0xb0f5c1d27e9a4361;
 
-# Between VMs: a statement that a home of its group is to run, and what
-# became of it.
+# Messages between VMs: a statement for a home of its group to run, and its
+# outcome.
 
 struct Message {
   union {
@@ -12,7 +12,7 @@
 }
 
 struct Busy {
-  # The sender lives, and statements are under way there.
+  # The sender is alive, and this many statements are running there.
   statements @0 :UInt32;
 }
 
@@ -25,7 +25,7 @@
   replicas @5 :UInt16;
   statement @6 :Statement;
   begin @7 :Statement;
-  # Of the transaction, with its first statement only.
+  # The transaction's BEGIN, sent with its first statement only.
   values @8 :List(Value);
   written @9 :Position;
   waitedMs @10 :UInt32;
@@ -49,7 +49,7 @@
   name @3 :Text;
   argument @4 :Text;
   shape @5 :Text;
-  # What a prepared name runs, if hasShape.
+  # Text of the prepared statement, valid if hasShape.
   hasShape @6 :Bool;
   shapeWrites @7 :Bool;
 }
--- a/redwingpost/wire/work.py
+++ b/redwingpost/wire/work.py
@@ -1,4 +1,4 @@
-"""Forwarded statements and their outcomes as bytes: pack and unpack."""
+"""Conversion of forwarded statements and their outcomes to and from bytes."""
 
 from typing import Any
 
@@ -21,11 +21,11 @@
 
 
 class MessageError(Exception):
-    """Bytes that are no message."""
+    """The bytes are no valid message."""
 
 
 def pack_work(work: Work) -> bytes:
-    """Return a statement for a home as bytes.
+    """Return the bytes of a statement for a home.
 
     Examples
     --------
@@ -64,7 +64,7 @@
 
 
 def pack_done(done: Done) -> bytes:
-    """Return the outcome of a statement as bytes.
+    """Return the bytes of a statement's outcome.
 
     Examples
     --------
@@ -89,7 +89,7 @@
 
 
 def pack_busy(busy: Busy) -> bytes:
-    """Return the word that a home is at work as bytes.
+    """Return the bytes of the message that a home is still working.
 
     Examples
     --------
@@ -100,12 +100,12 @@
 
 
 def unpack(body: bytes) -> Work | Done | Busy:
-    """Return the message that bytes hold.
+    """Decode a message.
 
     Raises
     ------
     MessageError
-        Where they hold none.
+        If the bytes are no valid message.
     """
     try:
         with SCHEMA.Message.from_bytes(body) as message:
@@ -161,8 +161,8 @@
 
 
 def _read_work(body: Any) -> Work:
-    told = body.statement
-    shape = Shape(told.shapeWrites, told.shape) if told.hasShape else None
+    sent = body.statement
+    shape = Shape(sent.shapeWrites, sent.shape) if sent.hasShape else None
     has_begin = bool(body.begin.kind)
     return Work(
         body.number,
@@ -171,7 +171,7 @@
         body.organisation,
         _read_route(body.route),
         body.replicas,
-        _read_statement(told),
+        _read_statement(sent),
         shape,
         _read_statement(body.begin) if has_begin else None,
         {item.name: item.value for item in body.values},
@@ -202,11 +202,11 @@
     if which == "answer":
         return Answer(tuple(body.answer.rows), body.answer.proof)
     if which == "failure":
-        told = body.failure
-        return MemberFailure(FailureKind(told.kind), told.word, told.detail)
-    told = body.refusal
-    code = CODES_BY_NUMBER[told.code]
-    return Refusal(code, told.detail, told.retryAfterMs)
+        sent = body.failure
+        return MemberFailure(FailureKind(sent.kind), sent.word, sent.detail)
+    sent = body.refusal
+    code = CODES_BY_NUMBER[sent.code]
+    return Refusal(code, sent.detail, sent.retryAfterMs)
 
 
 def _read_done(body: Any) -> Done:
