--- a/redwingpost/ports/__init__.py
+++ b/redwingpost/ports/__init__.py
@@ -1,6 +1,6 @@
-"""Ports: what the system needs from outside, as abstract types.
+"""Ports: abstract types of the services that the system depends on.
 
-Adapters implement them over real protocols; tests pass small fakes.
+Adapters implement them over real protocols; tests use small fakes.
 """
 
 from redwingpost.ports.clock import Clock, MonotonicClock, VirtualClock
--- a/redwingpost/ports/clock.py
+++ b/redwingpost/ports/clock.py
@@ -1,22 +1,22 @@
-"""The clock port: only adapters and services read real time."""
+"""The clock port; only adapters and services read real time."""
 
 from time import CLOCK_BOOTTIME, clock_gettime
 from typing import Protocol
 
 
 class Clock(Protocol):
-    """A source of seconds that never runs backwards."""
+    """A monotonic clock."""
 
     def now(self) -> float:
-        """Return the seconds since some fixed moment."""
+        """Return the seconds since an arbitrary fixed time."""
 
 
 class MonotonicClock:
-    """Real time, including the time that the machine was suspended.
+    """Real time, including the time that the VM was suspended.
 
-    ``CLOCK_MONOTONIC`` stands still while a VM is suspended. A lease
-    judged by it would look valid after a wake-up although its grantor
-    has already given it away; ``CLOCK_BOOTTIME`` counts on.
+    ``CLOCK_MONOTONIC`` stops while a VM is suspended. A lease checked
+    against it would seem valid after the VM resumes, although its grantor
+    may have granted it to another holder. ``CLOCK_BOOTTIME`` continues.
     """
 
     def now(self) -> float:
@@ -25,7 +25,7 @@
 
 
 class VirtualClock:
-    """Time that a test moves by hand.
+    """A clock that a test advances explicitly.
 
     Examples
     --------
@@ -39,9 +39,9 @@
         self._now = start
 
     def now(self) -> float:
-        """Return the seconds that the test has let pass."""
+        """Return the start time plus the seconds advanced."""
         return self._now
 
     def advance(self, seconds: float) -> None:
-        """Let ``seconds`` pass."""
+        """Advance the clock by ``seconds``."""
         self._now += seconds
--- a/redwingpost/ports/database.py
+++ b/redwingpost/ports/database.py
@@ -1,7 +1,7 @@
-"""The database port: a member of a group, as the node speaks to it.
+"""The database port: a node's connections to the members of a group.
 
-One link is one connection, opened for one organisation. It carries one
-exchange at a time.
+A link is one connection, opened for one organisation. It carries one
+exchange (a request and its answer) at a time.
 """
 
 from enum import Enum
@@ -13,7 +13,7 @@
 
 
 class FailureKind(Enum):
-    """How a member refused or failed a statement."""
+    """Why a member refused a statement or failed to run it."""
 
     FULL = "full"
     TOO_MANY_CONNECTIONS = "too-many-connections"
@@ -27,7 +27,7 @@
     OTHER = "other"
 
 
-#: Failures with which the member says that the statement has not run.
+#: Failures that guarantee that the statement has not run.
 DID_NOT_RUN = frozenset(
     {
         FailureKind.FULL,
@@ -41,7 +41,7 @@
 
 
 class MemberFailure(NamedTuple):
-    """A member's own refusal or error; ``word`` is its code as sent."""
+    """A member's refusal or error; ``word`` is the error code it sent."""
 
     kind: FailureKind
     word: str
@@ -49,15 +49,15 @@
 
     @classmethod
     def unknown_name(cls, name: str) -> "MemberFailure":
-        """Return what a member says of a name that isn't prepared."""
+        """Return a member's failure for a name that isn't prepared."""
         return cls(FailureKind.NOT_PREPARED, "NOSTMT", name)
 
 
 class Reply(NamedTuple):
-    """A member's whole answer.
+    """A member's complete answer.
 
-    ``position`` is the head of the member's log as it answered; None
-    where it named none.
+    ``position`` is the head of the member's log when it answered; None
+    if the answer contained none.
     """
 
     rows: tuple[str, ...] = ()
@@ -68,11 +68,11 @@
 
 
 class StatusReport(NamedTuple):
-    """What a member says of itself.
+    """A member's status.
 
     ``received`` is the last position in its log, ``paused_for`` the term
-    below which it takes nothing from a primary (0 for none), ``busy``
-    its occupied slots.
+    below which it doesn't replicate a primary (0 for none), ``busy`` the
+    number of its occupied slots.
     """
 
     is_primary: bool
@@ -85,7 +85,7 @@
 
 
 class LinkLost(Exception):
-    """The connection ended or went silent.
+    """The connection was closed or timed out.
 
     Parameters
     ----------
@@ -100,7 +100,7 @@
 
 
 class DatabaseLink(Protocol):
-    """One connection to one member; raises LinkLost when it breaks."""
+    """One connection to one member; raises LinkLost if it fails."""
 
     organisation: str
 
@@ -115,40 +115,42 @@
         prepared_as: str = "",
         first: Prepare | None = None,
     ) -> Reply:
-        """Run a caller's statement once the member holds ``after``.
+        """Run a caller's statement once the member has reached ``after``.
 
-        ``first`` is prepared on the way. Where that fails its failure is
-        the answer: the statement finds no such name and doesn't run.
+        ``first`` is prepared in the same round trip. If that fails, its
+        failure is returned; the statement finds no such prepared name and
+        doesn't run.
         """
 
     async def set_up(self, steps: tuple[SetupStep, ...]) -> tuple[Reply, ...]:
-        """Take all steps in one round trip; return their answers."""
+        """Run all steps in one round trip; return their answers."""
 
     async def roll_back(self) -> Reply:
         """Roll the open transaction back."""
 
     async def status(self) -> StatusReport | None:
-        """Ask for a report; None where the member refused."""
+        """Request the member's status; None if it refused."""
 
     async def pause(self, term: int) -> StatusReport | None:
-        """Let the member take nothing from primaries below ``term``."""
+        """Stop the member from replicating primaries below ``term``."""
 
     async def resume(self) -> StatusReport | None:
         """Undo a pause."""
 
     async def step_down(self, term: int) -> StatusReport | None:
-        """Make a primary of a lower term a replica."""
+        """Demote a primary of a lower term to a replica."""
 
     def close(self) -> None:
-        """Close at once; an open transaction rolls back."""
+        """Close immediately; the member rolls back an open transaction."""
 
 
 class MemberEntry(NamedTuple):
-    """A member as the registry lists it.
+    """A member's entry in the registry.
 
-    ``started_ms`` tells one life of a member from the next under the
-    same name; it is compared for equality only. ``slots`` are the
-    statements that it runs at once; 0 where the registry doesn't say.
+    ``started_ms`` distinguishes the incarnations of a member under one
+    name; it is only compared for equality. ``slots`` is the number of
+    statements that the member runs concurrently; 0 if the registry
+    doesn't state it.
     """
 
     member: str
@@ -168,7 +170,7 @@
     async def open(
         self, entry: MemberEntry, organisation: str, timeout_s: float
     ) -> DatabaseLink | MemberFailure:
-        """Open a link, or say with what the member refused it."""
+        """Open a link, or return the member's refusal."""
 
 
 class PromotionOrders(Protocol):
@@ -177,4 +179,4 @@
     async def promote(
         self, group: str, member: str, holder: str, fence: int
     ) -> bool:
-        """Return whether the platform took the order."""
+        """Return whether the platform accepted the order."""
--- a/redwingpost/ports/fleet_store.py
+++ b/redwingpost/ports/fleet_store.py
@@ -1,8 +1,8 @@
-"""The fleet's store: rows that last, and a feed of their changes.
+"""The fleet store port: durable rows and a feed of their changes.
 
-Rows and conditions are those of ``redwingpost.ports.platform``. Values
-that can't be read are given as None: what another writer left must not
-end the reader.
+Rows and conditions are those of ``redwingpost.ports.platform``. A value
+that can't be decoded is returned as None, so that a row of another writer
+doesn't stop the reader.
 """
 
 from typing import NamedTuple, Protocol
@@ -19,9 +19,9 @@
 
 
 class Snapshot(NamedTuple):
-    """A table at one moment.
+    """The rows of a table at one version.
 
-    ``now_ms`` is the store's steady clock (milliseconds).
+    ``now_ms`` is the store's monotonic clock (milliseconds).
     """
 
     rows: tuple[Row, ...]
@@ -30,17 +30,18 @@
 
 
 class RowChange(NamedTuple):
-    """A row that was put, or removed."""
+    """A row that was written or removed."""
 
     row: Row
     is_removed: bool
 
 
 class Changes(NamedTuple):
-    """What changed since a version, oldest first.
+    """The changes since a version, oldest first.
 
-    The order matters: a member that was removed and came back is there.
-    ``history_lost``: the store no longer knows; read the whole table.
+    The order matters: a member that was removed and then written again
+    exists. ``history_lost``: the store no longer has all changes since
+    that version, and the whole table must be read again.
     """
 
     changes: tuple[RowChange, ...]
@@ -51,8 +52,8 @@
 class FleetStore(Protocol):
     """A store with conditional writes and a feed.
 
-    Errors are ``Code.STORE_UNAVAILABLE`` where nothing took effect, and
-    ``Code.STORE_OUTCOME_UNKNOWN`` where an answer was lost.
+    Errors are ``Code.STORE_UNAVAILABLE`` if nothing took effect, and
+    ``Code.STORE_OUTCOME_UNKNOWN`` if an answer was lost.
     """
 
     async def snapshot(self, table: str) -> Result[Snapshot, Refusal]:
@@ -61,7 +62,7 @@
     async def changes(
         self, table: str, after: int, wait_s: float
     ) -> Result[Changes, Refusal]:
-        """Wait for changes after a version."""
+        """Wait up to ``wait_s`` seconds for changes after a version."""
 
     async def transact(
         self, conditions: tuple[Condition, ...], writes: tuple[Write, ...]
--- a/redwingpost/ports/platform.py
+++ b/redwingpost/ports/platform.py
@@ -12,7 +12,7 @@
 
 
 class Row(NamedTuple):
-    """A row of the table service. Versions start at 1 and only grow."""
+    """A row of the table service; versions start at 1 and only increase."""
 
     table: str
     key: str
@@ -21,7 +21,7 @@
 
 
 class Condition(NamedTuple):
-    """A row's version that a transaction relies on; 0 means absent."""
+    """The version that a row must have in a transaction; 0 means absent."""
 
     table: str
     key: str
@@ -29,7 +29,7 @@
 
 
 class Write(NamedTuple):
-    """A row to set, or to delete where ``value`` is None."""
+    """A row to set, or to delete if ``value`` is None."""
 
     table: str
     key: str
@@ -37,10 +37,10 @@
 
 
 class TransactResult(NamedTuple):
-    """Outcome of a transaction the service answered.
+    """Outcome of a transaction that the service answered.
 
-    ``committed`` is False where a condition failed; ``conflicts`` then
-    holds the rows as they stand (version 0 for an absent one).
+    ``committed`` is False if a condition failed; ``conflicts`` then holds
+    the current rows (version 0 for an absent one).
     """
 
     committed: bool
@@ -49,10 +49,10 @@
 
 
 class TableService(Protocol):
-    """Rows with conditional transactions over several of them.
+    """Rows and conditional transactions over several of them.
 
-    Errors are ``Code.STORE_UNAVAILABLE`` where nothing took effect, and
-    ``Code.STORE_OUTCOME_UNKNOWN`` where an answer was lost.
+    Errors are ``Code.STORE_UNAVAILABLE`` if nothing took effect, and
+    ``Code.STORE_OUTCOME_UNKNOWN`` if an answer was lost.
     """
 
     async def read(self, table: str, key: str) -> Result[Row | None, Refusal]:
@@ -61,7 +61,7 @@
     async def scan(
         self, table: str, prefix: str = "", after: str = ""
     ) -> Result[tuple[Row, ...], Refusal]:
-        """Return the rows whose key starts with prefix, beyond after."""
+        """Return the rows whose key starts with prefix and is above after."""
 
     async def transact(
         self, conditions: tuple[Condition, ...], writes: tuple[Write, ...]
@@ -80,7 +80,7 @@
 
 
 class VmEntry(NamedTuple):
-    """One VM of the platform's list; ``state`` is live or leaving."""
+    """A VM in the platform's list; ``state`` is live or leaving."""
 
     vm: str
     data_centre: str
@@ -91,7 +91,7 @@
 
 
 class VmList(Protocol):
-    """The platform's list of VMs, some seconds behind the truth."""
+    """The platform's list of VMs, which may be some seconds old."""
 
     async def vms(self) -> Result[tuple[VmEntry, ...], Refusal]:
-        """Return the VMs that the platform knows."""
+        """Return the VMs in the platform's list."""
--- a/redwingpost/ports/registry.py
+++ b/redwingpost/ports/registry.py
@@ -1,4 +1,4 @@
-"""What a node reads from the fleet's store, and how rows become types."""
+"""Tables that a node reads from the fleet store, and their decoders."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -9,13 +9,13 @@
 
 
 class EntryError(Exception):
-    """A row that can't be used; the message names field and value."""
+    """A row is invalid; the message names the field and its value."""
 
 
 class RegistryFormat(NamedTuple):
     """Tables of the configuration and the members, and their decoders.
 
-    The decoders raise EntryError.
+    The decoders raise EntryError for an invalid row.
     """
 
     configuration_table: str
--- a/redwingpost/ports/target.py
+++ b/redwingpost/ports/target.py
@@ -1,7 +1,7 @@
 """The target port: one member of a database group.
 
-Control statements and the MySQL facility each stands for are listed in
-``docs/design/target-port.md``.
+The control statements, each with the MySQL facility that it represents,
+are listed in ``docs/design/target-port.md``.
 """
 
 from typing import Any, NamedTuple, Protocol
@@ -22,7 +22,7 @@
 
 
 class StatementResult(NamedTuple):
-    """A statement's whole answer.
+    """A statement's complete result.
 
     ``columns`` is empty for a statement without a result set.
     """
@@ -38,8 +38,8 @@
 class MemberStatus(NamedTuple):
     """A member's answer to ``REDWING STATUS``.
 
-    ``received`` counts transactions that are safe in the member's relay
-    log, ``applied`` those that a read on it sees.
+    ``received`` counts transactions that are durable in the member's
+    relay log, ``applied`` those that a read on it sees.
     """
 
     member: str
@@ -53,14 +53,14 @@
 
 
 class TargetError(Exception):
-    """A member answered with a MySQL error: it says what it did.
+    """A member answered with a MySQL error, so the outcome is known.
 
     Parameters
     ----------
     number : int
         MySQL error number.
     message : str
-        The member's words.
+        Error message of the member.
     """
 
     def __init__(self, number: int, message: str) -> None:
@@ -75,7 +75,7 @@
     Parameters
     ----------
     sent : bool
-        False only where no byte of the statement left this process.
+        False only if no byte of the statement left this process.
     """
 
     def __init__(self, sent: bool, reason: str = "") -> None:
@@ -98,14 +98,14 @@
         TargetError
             If the member refused or failed it.
         TargetLost
-            If no whole answer came.
+            If no complete answer arrived.
         """
 
     async def position(self) -> Position:
         """Return the position of this connection's last commit."""
 
     async def reset(self) -> bool:
-        """Clear the connection's state; False where that isn't proven."""
+        """Clear the connection's state; False if that isn't certain."""
 
     async def close(self) -> None:
         """Close the connection without waiting for the member."""
