--- a/redwingpost/cli/agent.py
+++ b/redwingpost/cli/agent.py
@@ -1,4 +1,4 @@
-"""``redwing-agent``: one VM's part in the fleet."""
+"""``redwing-agent``: the fleet's agent on one VM."""
 
 from pathlib import Path
 from typing import Annotated
--- a/redwingpost/cli/bench.py
+++ b/redwingpost/cli/bench.py
@@ -1,4 +1,4 @@
-"""``redwing-bench``: load, faults, and what callers received."""
+"""``redwing-bench``: experiments with load and faults on real programs."""
 
 from asyncio import run as run_loop
 from json import loads
@@ -38,20 +38,20 @@
 app = Typer(
     add_completion=False,
     no_args_is_help=True,
-    help="Load, faults, and what callers received: experiments on the "
-    "real programs.\n\n"
+    help="Experiments on the real programs: load, faults, and the answers "
+    "that callers received.\n\n"
     "Example: redwing-bench run primary-loss --site yuelan --seed 3",
 )
-#: Columns where the output is no terminal; wide tables stay readable.
+#: Columns of output that isn't a terminal, enough for wide tables.
 _FILE_COLUMNS = 140
 
 console = Console(width=None if stdout.isatty() else _FILE_COLUMNS)
 progress = Console(stderr=True, soft_wrap=True)
 
-#: Exit codes besides 0: the run broke; the run had violations.
-BROKEN, VIOLATED = 1, 3
+#: Exit codes besides 0: the run failed; the run violated a promise.
+EXIT_FAILED, EXIT_VIOLATED = 1, 3
 
-#: Seconds of load per site in the demo.
+#: Seconds of load for each site in the demo.
 DEMO_LOAD_S = 4.0
 
 Site = Annotated[str, Option(help="semilla-andina or yuelan")]
@@ -61,26 +61,26 @@
 Names = Annotated[str, Option(help="Comma-separated; empty for all")]
 
 
-def _check(name: str, known: tuple[str, ...], what: str) -> None:
+def _check_name(name: str, known: tuple[str, ...], what: str) -> None:
     if name not in known:
         allowed = ", ".join(known)
         raise BadParameter(f"unknown {what} {name!r}; known: {allowed}")
 
 
-def _split(names: str, known: tuple[str, ...], what: str) -> list[str]:
+def _parse_names(names: str, known: tuple[str, ...], what: str) -> list[str]:
     chosen = [name for name in names.split(",") if name] or list(known)
     for name in chosen:
-        _check(name, known, what)
+        _check_name(name, known, what)
     return chosen
 
 
-def _progress() -> Progress:
-    began_at = monotonic()
+def _make_progress_printer() -> Progress:
+    started_at = monotonic()
 
-    def say(line: str) -> None:
-        progress.print(f"[dim]{monotonic() - began_at:6.1f} s[/dim] {line}")
+    def print_progress(line: str) -> None:
+        progress.print(f"[dim]{monotonic() - started_at:6.1f} s[/dim] {line}")
 
-    return say
+    return print_progress
 
 
 @app.command("list")
@@ -112,45 +112,45 @@
 
     Example: redwing-bench run primary-loss --seed 7 --json out.json
     """
-    _check(scenario, SCENARIOS.names(), "scenario")
-    _check(site, SITES.names(), "site")
-    _check(policy, POLICIES, "policy")
+    _check_name(scenario, SCENARIOS.names(), "scenario")
+    _check_name(site, SITES.names(), "site")
+    _check_name(policy, POLICIES, "policy")
     order = Order(scenario, site, seed, policy)
-    say = _progress()
+    print_progress = _make_progress_printer()
     try:
-        with take_turn(say):
-            finished = run_loop(run_limited(order, say))
+        with take_turn(print_progress):
+            finished = run_loop(run_limited(order, print_progress))
     except Exception as error:
-        # Any failure of the run is reported in one line; the children's
-        # logs hold the rest.
-        progress.print(f"[red]the run broke:[/red] {error!r}")
-        raise Exit(BROKEN) from error
+        # Any failure is reported in one line; the child processes' logs
+        # hold the details.
+        progress.print(f"[red]the run failed:[/red] {error!r}")
+        raise Exit(EXIT_FAILED) from error
     if json is not None:
         json.write_bytes(format_json(encode(finished.measures), indent=2))
     if history is not None:
         lines = (encode(to_record(a)) for a in finished.run.attempts)
         history.write_bytes(b"\n".join(lines) + b"\n")
     console.print(make_detail_table(finished.measures))
-    say(f"notes: {finished.notes}; logs in {finished.directory}")
+    print_progress(f"notes: {finished.notes}; logs in {finished.directory}")
     if finished.measures["violations"]:
-        raise Exit(VIOLATED)
+        raise Exit(EXIT_VIOLATED)
 
 
 @app.command()
 def demo() -> None:
-    """Start everything, run both users' mixes, print a table.
+    """Start all programs, run both users' loads and print a table.
 
     Example: redwing-bench demo
     """
-    say = _progress()
+    print_progress = _make_progress_printer()
     SCENARIOS.get("steady").load_s = DEMO_LOAD_S
     orders = plan(["steady"], SITES.names(), [1], ["redwingpost"])
-    result = run_all(orders, say)
+    result = run_all(orders, print_progress)
     title = "redwingpost, both users' mixes"
     console.print(make_side_by_side(result.runs, title))
     violated = any(run["violations"] for run in result.runs)
     if result.failures or violated:
-        raise Exit(BROKEN)
+        raise Exit(EXIT_FAILED)
 
 
 @app.command()
@@ -161,31 +161,31 @@
     seeds: Annotated[int, Option(help="How many seeds, from 1")] = 10,
     json: Json = None,
 ) -> None:
-    """Run seeds x scenarios x sites one after another; one table.
+    """Run every seed, scenario and site in turn; print one table.
 
     Example: redwing-bench sweep --scenarios primary-loss --seeds 10
     """
     orders = plan(
-        _split(scenarios, SCENARIOS.names(), "scenario"),
-        _split(sites, SITES.names(), "site"),
+        _parse_names(scenarios, SCENARIOS.names(), "scenario"),
+        _parse_names(sites, SITES.names(), "site"),
         range(1, seeds + 1),
-        _split(policies, POLICIES, "policy"),
+        _parse_names(policies, POLICIES, "policy"),
     )
-    result = run_all(orders, _progress())
+    result = run_all(orders, _make_progress_printer())
     if json is not None:
         json.write_bytes(encode(result.runs))
     console.print(make_spread_table(result))
     for failure in result.failures:
-        console.print(f"[red]did not end:[/red] {failure}")
+        console.print(f"[red]did not finish:[/red] {failure}")
     if result.failures:
-        raise Exit(BROKEN)
+        raise Exit(EXIT_FAILED)
     if any(run["violations"] for run in result.runs):
-        raise Exit(VIOLATED)
+        raise Exit(EXIT_VIOLATED)
 
 
 @app.command()
 def report(
-    directory: Annotated[Path, Option(help="Where the pages go")] = Path(
+    directory: Annotated[Path, Option(help="Folder for the pages")] = Path(
         "bench-report"
     ),
     scenarios: Names = "",
@@ -198,12 +198,12 @@
     Example: redwing-bench report --directory out
     """
     orders = plan(
-        _split(scenarios, SCENARIOS.names(), "scenario"),
-        _split(sites, SITES.names(), "site"),
+        _parse_names(scenarios, SCENARIOS.names(), "scenario"),
+        _parse_names(sites, SITES.names(), "site"),
         [seed],
-        _split(policies, POLICIES, "policy"),
+        _parse_names(policies, POLICIES, "policy"),
     )
-    result = run_all(orders, _progress())
+    result = run_all(orders, _make_progress_printer())
     pages = write_report(result.runs, result.failures, directory)
     (directory / "runs.json").write_bytes(encode(result.runs))
     console.print(f"wrote {pages.markdown} and {pages.html}")
@@ -225,7 +225,7 @@
 @app.command()
 def plot(
     files: Annotated[list[Path], Argument(help="JSON of runs or sweeps")],
-    directory: Annotated[Path, Option(help="Where PNGs go")] = Path("."),
+    directory: Annotated[Path, Option(help="Folder for PNGs")] = Path("."),
 ) -> None:
     """Draw measures from the JSON of runs, sweeps or reports.
 
@@ -246,8 +246,8 @@
     """Run the command line; its log goes to standard error."""
     logger.remove()
     logger.add(stderr, level="WARNING")
-    # A bench that is told to stop would leave its children running, seen
-    # as programs without a parent: as an interrupt it ends them first.
+    # SIGTERM would end the bench and leave its child processes running
+    # without a parent. Handled as an interrupt, it ends them first.
     signal(SIGTERM, default_int_handler)
     app()
 
--- a/redwingpost/cli/ctl.py
+++ b/redwingpost/cli/ctl.py
@@ -1,4 +1,4 @@
-"""``redwingctl``: what operators do."""
+"""``redwingctl``: commands for operators."""
 
 from getpass import getuser
 from pathlib import Path
@@ -12,13 +12,13 @@
 from redwingpost.adapters.peer import PeerAddress
 from redwingpost.cli.ctl_refusals import refusals
 from redwingpost.cli.ctl_usage import usage
-from redwingpost.cli.ctl_work import (
-    REFUSED,
+from redwingpost.cli.ctl_common import (
+    EXIT_REFUSED,
     Options,
     fail,
     make_change,
     read_address,
-    run_work,
+    run_operation,
     show_result,
 )
 from redwingpost.configuration.diff import describe_changes
@@ -32,7 +32,8 @@
     add_completion=False,
     no_args_is_help=True,
     help=(
-        "Drive a fleet.\n\n" "Example: redwingctl --settings vm-1.toml status"
+        "Operate a fleet.\n\n"
+        "Example: redwingctl --settings vm-1.toml status"
     ),
 )
 
@@ -46,12 +47,12 @@
     platform: Annotated[str, Option(help="The platform's URL.")] = "",
     agent: Annotated[
         list[str] | None,
-        Option(help="IP:PORT of an agent; needed with the platform away."),
+        Option(help="IP:PORT of an agent; needed if the platform is down."),
     ] = None,
     who: Annotated[str, Option(help="Your name in the audit trail.")] = "",
     json: Annotated[bool, Option(help="Print JSON.")] = False,
 ) -> None:
-    """Read the options that hold for every command."""
+    """Read the options that apply to every command."""
     loaded = None
     if settings is not None:
         result = load_settings(settings)
@@ -71,7 +72,7 @@
 def print_site(
     program: Annotated[Path, Argument(help="Python; sets ``site``.")],
 ) -> None:
-    """Run an operator's program and print its site.
+    """Run an operator's Python program and print its site.
 
     Example: redwingctl print site.py > site.json
     """
@@ -97,16 +98,16 @@
     file: Path,
     base: Annotated[str, Option(help="Version it is based on, or latest.")],
     submission: Annotated[
-        str, Option(help="Id of an earlier try whose answer was lost.")
+        str, Option(help="Id of an earlier attempt whose answer was lost.")
     ] = "",
 ) -> None:
-    """Submit a configuration written against version BASE.
+    """Submit a configuration that is based on version BASE.
 
     Example: redwingctl submit site.json --base 7
     """
     change = make_change(context.obj, file.read_bytes(), submission)
 
-    async def work(actions: OperatorActions) -> Result:
+    async def operation(actions: OperatorActions) -> Result:
         if base != "latest":
             return await actions.submit(change._replace(base=int(base)))
         head = await actions.log.head_row()
@@ -115,7 +116,7 @@
         latest = int(head.ok.value["version"]) if head.ok else 0
         return await actions.submit(change._replace(base=latest))
 
-    _show_accepted(context, run_work(context.obj, work))
+    _show_accepted(context, run_operation(context.obj, operation))
 
 
 @app.command()
@@ -124,7 +125,9 @@
     version: Annotated[int, Argument(help="0 for the newest.")] = 0,
 ) -> None:
     """Print a version's body."""
-    found = run_work(context.obj, lambda actions: _version(actions, version))
+    found = run_operation(
+        context.obj, lambda actions: _read_version(actions, version)
+    )
     echo(found.body.decode())
 
 
@@ -132,14 +135,14 @@
 def diff(context: Context, old: int, new: int) -> None:
     """Show what changed from version OLD to version NEW."""
 
-    async def work(actions: OperatorActions) -> Result:
-        before = await _version(actions, old)
+    async def operation(actions: OperatorActions) -> Result:
+        before = await _read_version(actions, old)
         if before.is_error():
             return before
-        after = await _version(actions, new)
+        after = await _read_version(actions, new)
         return after.map(lambda v: describe_changes(before.ok.body, v.body))
 
-    lines = run_work(context.obj, work)
+    lines = run_operation(context.obj, operation)
     show_result(context.obj, list(lines), "\n".join(lines) or "no change")
 
 
@@ -149,7 +152,7 @@
     after: Annotated[int, Option(help="Only versions above this.")] = 0,
 ) -> None:
     """Show the audit trail: who changed what, when, from which version."""
-    rows = run_work(context.obj, lambda actions: actions.log.audit(after))
+    rows = run_operation(context.obj, lambda actions: actions.log.audit(after))
     entries = [{"version": int(row.key), **row.value} for row in rows]
     table = Table("version", "from", "when", "who", "what")
     for entry in entries:
@@ -165,7 +168,9 @@
 
 @app.command()
 def grant(context: Context, organisation: str, name: str) -> None:
-    """Make a key for an organisation and show it, this once.
+    """Make a key for an organisation and show it once.
+
+    Only the key's hash is stored.
 
     Example: redwingctl grant diocese-puno 2030-b
     """
@@ -181,7 +186,7 @@
         return None
 
     change = make_change(context.obj)
-    accepted = run_work(
+    accepted = run_operation(
         context.obj, lambda actions: actions.amend(edit, change)
     )
     shown = {
@@ -199,50 +204,50 @@
     organisation: str,
     key: Annotated[str, Argument(help="The key's name or its hash.")],
 ) -> None:
-    """Withdraw a key; counts from the first agent that hears of it.
+    """Withdraw a key; takes effect at the first agent that receives it.
 
-    With the platform away give the key's hash and ``--agent``.
+    If the platform is down, pass the key's hash and ``--agent``.
     """
     change = make_change(context.obj)
 
-    async def work(actions: OperatorActions) -> Any:
+    async def operation(actions: OperatorActions) -> Any:
         key_hash = await _find_hash(actions, organisation, key)
         if key_hash.is_error():
             return key_hash
         withdrawal = Withdrawal(organisation, key_hash.ok)
         return await actions.withdraw([withdrawal], change)
 
-    told, recorded = run_work(context.obj, work)
+    notified, recorded = run_operation(context.obj, operation)
     shown = {
-        "told": told.vms_by_data_centre,
-        "missed_data_centres": list(told.missed),
+        "told": notified.vms_by_data_centre,
+        "missed_data_centres": list(notified.missed),
         "recorded_version": recorded.ok.version if recorded.is_ok() else None,
     }
-    lines = [f"told: {told.vms_by_data_centre or 'nobody'}"]
-    if told.missed:
-        lines.append(f"not reached: {', '.join(told.missed)}")
+    lines = [f"told: {notified.vms_by_data_centre or 'nobody'}"]
+    if notified.missed:
+        lines.append(f"not reached: {', '.join(notified.missed)}")
     if recorded.is_ok():
         lines.append(f"recorded in version {recorded.ok.version}")
     else:
         lines.append(f"not recorded yet: {recorded.error.describe()}")
     show_result(context.obj, shown, "\n".join(lines))
-    if recorded.is_error() and not told.vms_by_data_centre:
-        raise Exit(REFUSED)
+    if recorded.is_error() and not notified.vms_by_data_centre:
+        raise Exit(EXIT_REFUSED)
 
 
 @app.command()
 def drain(
     context: Context,
-    name: Annotated[str, Argument(help="A target's member, or a VM.")],
+    name: Annotated[str, Argument(help="A member, or a VM with --vm.")],
     vm: Annotated[bool, Option(help="NAME is a VM.")] = False,
-    undo: Annotated[bool, Option(help="Let a member work again.")] = False,
+    undo: Annotated[bool, Option(help="End the drain of a member.")] = False,
 ) -> None:
-    """Drain a target's member, or a VM of the system.
+    """Drain a member of a database group, or a VM.
 
     Example: redwingctl drain catalogue-1-b
     """
     if vm:
-        run_work(context.obj, lambda actions: _drain_vm(actions, name))
+        run_operation(context.obj, lambda actions: _drain_vm(actions, name))
         show_result(context.obj, {"draining": name}, f"{name} drains")
         return
 
@@ -255,18 +260,20 @@
     change = make_change(context.obj)
     _show_accepted(
         context,
-        run_work(context.obj, lambda actions: actions.amend(edit, change)),
+        run_operation(
+            context.obj, lambda actions: actions.amend(edit, change)
+        ),
     )
 
 
 @app.command()
 def status(context: Context) -> None:
-    """Show every VM, and where the newest version isn't in force."""
+    """Show every VM, and why the newest version isn't in force there."""
 
-    async def work(actions: OperatorActions) -> Any:
+    async def operation(actions: OperatorActions) -> Any:
         return await actions.status()
 
-    version, lines = run_work(context.obj, work)
+    version, lines = run_operation(context.obj, operation)
     table = Table(
         "VM", "data centre", "agent", "proxy", "heard", "not in force"
     )
@@ -296,7 +303,7 @@
     show_result(context.obj, shown, table)
 
 
-async def _version(actions: OperatorActions, number: int) -> Result:
+async def _read_version(actions: OperatorActions, number: int) -> Result:
     if number:
         return await actions.log.version(number)
     head = await actions.log.head()
@@ -306,10 +313,10 @@
 async def _find_hash(
     actions: OperatorActions, organisation: str, key: str
 ) -> Result:
-    """Return a key's hash; a hash is taken as it is."""
-    from_hash = Withdrawal(organisation, key)
+    """Return the hash of a key; ``key`` is its name or the hash itself."""
+    given_hash = Withdrawal(organisation, key)
     if len(key) == 40 and all(c in "0123456789abcdef" for c in key):
-        return Ok(from_hash.key_hash)
+        return Ok(given_hash.key_hash)
     head = await actions.log.head()
     if head.is_error():
         return head
--- a/redwingpost/cli/ctl_work.py
+++ b/redwingpost/cli/ctl_common.py
@@ -1,4 +1,4 @@
-"""What the commands of ``redwingctl`` share: options, work, output."""
+"""Shared by the commands of ``redwingctl``: options, operations, output."""
 
 from asyncio import run
 from collections.abc import Awaitable, Callable
@@ -21,13 +21,12 @@
 from redwingpost.operator import Agents, OperatorActions
 from redwingpost.settings import PlatformSettings, Settings
 
-#: Exit status where something was refused, as distinct from 2, a wrong
-#: command line.
-REFUSED = 1
+#: Exit status of a refused operation; 2 is that of a wrong command line.
+EXIT_REFUSED = 1
 
 
 class Options(NamedTuple):
-    """Options that hold for every command."""
+    """Options that apply to every command."""
 
     settings: Settings | None
     platform: str
@@ -37,53 +36,55 @@
 
 
 def make_change(
-    given: Options, body: bytes = b"", submission: str = ""
+    options: Options, body: bytes = b"", submission: str = ""
 ) -> Change:
-    """Return a change that names the operator and the time."""
+    """Return a change that records the operator and the time."""
     return Change(
         body=body,
         base=0,
-        who=given.who,
+        who=options.who,
         when=datetime.now(timezone.utc).isoformat(timespec="seconds"),
         submission=submission or uuid4().hex,
     )
 
 
-def run_work(
-    given: Options, work: Callable[[OperatorActions], Awaitable[Any]]
+def run_operation(
+    options: Options, operation: Callable[[OperatorActions], Awaitable[Any]]
 ) -> Any:
-    """Do an operator's work; a refusal ends the program with status 1."""
-    result = run(_with_actions(given, work))
+    """Run an operation; a refusal ends the program with status 1."""
+    result = run(_run_with_actions(options, operation))
     if not isinstance(result, Result):
         return result
     if result.is_error():
-        fail(result.error, given.as_json)
+        fail(result.error, options.as_json)
     return result.ok
 
 
-async def _with_actions(
-    given: Options, work: Callable[[OperatorActions], Awaitable[Any]]
+async def _run_with_actions(
+    options: Options, operation: Callable[[OperatorActions], Awaitable[Any]]
 ) -> Any:
-    settings = given.settings
+    settings = options.settings
     tls = TlsContexts(settings.tls if settings else None)
     timeout_s = settings.platform.timeout_s if settings else 2.0
-    agents = given.agents
+    agents = options.agents
     if settings and settings.agent.peer_port:
-        own = PeerAddress(settings.vm.ip, settings.agent.peer_port)
-        agents = (*agents, own)
+        own_address = PeerAddress(settings.vm.ip, settings.agent.peer_port)
+        agents = (*agents, own_address)
     async with kj_loop():
-        platform = HttpPlatform(PlatformSettings(given.platform, timeout_s))
+        platform = HttpPlatform(PlatformSettings(options.platform, timeout_s))
         clients = PeerClients("", tls)
         try:
             reachable = Agents(clients, platform, agents)
-            return await work(OperatorActions(platform, platform, reachable))
+            return await operation(
+                OperatorActions(platform, platform, reachable)
+            )
         finally:
             clients.close()
             await platform.on_stop()
 
 
 def read_address(text: str) -> PeerAddress:
-    """Read ``IP:PORT``; anything else ends the program with status 2."""
+    """Parse ``IP:PORT``; any other text ends the program with status 2."""
     ip, _, port = text.rpartition(":")
     if not ip or not port.isdigit():
         echo(f"allowed: IP:PORT; got {text!r}", err=True)
@@ -91,9 +92,9 @@
     return PeerAddress(ip, int(port))
 
 
-def show_result(given: Options, value: Any, readable: Any) -> None:
-    """Print a result, for people or as JSON."""
-    if given.as_json:
+def show_result(options: Options, value: Any, readable: Any) -> None:
+    """Print a result, as text or as JSON."""
+    if options.as_json:
         echo(dumps(value, ensure_ascii=False))
     else:
         Console().print(readable, markup=False, highlight=False)
@@ -110,4 +111,4 @@
         echo(canonical(shown).decode())
     else:
         echo(f"{refusal.code.number} {refusal.describe()}", err=True)
-    raise Exit(REFUSED)
+    raise Exit(EXIT_REFUSED)
--- a/redwingpost/cli/ctl_refusals.py
+++ b/redwingpost/cli/ctl_refusals.py
@@ -7,14 +7,14 @@
 from rich.table import Table
 from typer import Argument, Context, Exit, Option, echo
 
-from redwingpost.cli.ctl_work import REFUSED, show_result
+from redwingpost.cli.ctl_common import EXIT_REFUSED, show_result
 from redwingpost.operator.refusals import SPAN_S, CauseLine, count_causes
 
 
 def refusals(
     context: Context,
-    log: Annotated[list[Path], Argument(help="Files of nodes' log lines.")],
-    span: Annotated[float, Option(help="Seconds of one span.")] = SPAN_S,
+    log: Annotated[list[Path], Argument(help="Log files of nodes.")],
+    span: Annotated[float, Option(help="Length of a span (s).")] = SPAN_S,
 ) -> None:
     """Count refusals and late answers by cause and by span of time.
 
@@ -23,8 +23,8 @@
     try:
         lines = count_causes(_read_lines(log), span)
     except OSError as error:
-        echo(f"a log can't be read: {error}", err=True)
-        raise Exit(REFUSED) from error
+        echo(f"can't read a log: {error}", err=True)
+        raise Exit(EXIT_REFUSED) from error
     shown = {"span": span, "causes": [_as_fields(line) for line in lines]}
     show_result(context.obj, shown, _table(lines))
 
@@ -46,12 +46,12 @@
 def _table(lines: tuple[CauseLine, ...]) -> Table:
     table = Table("code", "why", "requests", "worst span", "from")
     for line in lines:
-        begin, most = max(line.count_by_span.items(), key=_by_count)
+        begin, highest = max(line.count_by_span.items(), key=_by_count)
         table.add_row(
             line.cause.code,
             line.cause.detail,
             str(line.count),
-            str(most),
+            str(highest),
             f"{begin:.1f}",
         )
     return table
--- a/redwingpost/cli/ctl_usage.py
+++ b/redwingpost/cli/ctl_usage.py
@@ -1,4 +1,4 @@
-"""``redwingctl usage``: who overloads a shared group."""
+"""``redwingctl usage``: which organisations overload a shared group."""
 
 from asyncio import gather, run, sleep
 from typing import Annotated
@@ -7,7 +7,7 @@
 from typer import Context, Exit, Option, echo
 
 from redwingpost.adapters.http_client import HttpClient, HttpLost
-from redwingpost.cli.ctl_work import REFUSED, read_address, show_result
+from redwingpost.cli.ctl_common import EXIT_REFUSED, read_address, show_result
 from redwingpost.operator.usage import (
     Series,
     UsageLine,
@@ -16,33 +16,33 @@
     summarise,
 )
 
-#: Seconds for a node's metrics page.
+#: Seconds to wait for a node's metrics page.
 _TIMEOUT_S = 5.0
 
 
 def usage(
     context: Context,
     node: Annotated[
-        list[str], Option(help="IP:PORT of a node's metrics; one a VM.")
+        list[str], Option(help="IP:PORT of a node's metrics; once per VM.")
     ],
     seconds: Annotated[
-        float, Option(help="Span to look at; 0: since the nodes started.")
+        float, Option(help="Seconds to measure; 0: since the nodes started.")
     ] = 10.0,
 ) -> None:
-    """Show what each organisation offered to each group, and got.
+    """Show what each organisation sent to each group, and what was granted.
 
     Example: redwingctl usage --node 10.1.0.26:7575 --seconds 30
     """
     try:
-        lines = run(_watch(tuple(node), seconds))
+        lines = run(_measure(tuple(node), seconds))
     except (HttpLost, ValueError) as error:
-        echo(f"a node's metrics can't be read: {error}", err=True)
-        raise Exit(REFUSED) from error
+        echo(f"can't read a node's metrics: {error}", err=True)
+        raise Exit(EXIT_REFUSED) from error
     shown = {"seconds": seconds, "lines": [line._asdict() for line in lines]}
     show_result(context.obj, shown, _table(lines))
 
 
-async def _watch(nodes: tuple[str, ...], seconds: float) -> tuple:
+async def _measure(nodes: tuple[str, ...], seconds: float) -> tuple:
     before: list[dict[Series, int]] = [{} for _ in nodes]
     if seconds > 0.0:
         before = await _read_all(nodes)
--- a/redwingpost/cli/node.py
+++ b/redwingpost/cli/node.py
@@ -22,14 +22,14 @@
 Usage: redwing-node [--check] [--help]
 
 The settings file is named by {PATH_VARIABLE}.
-  --check  read the settings, say what is wrong with them, and end
+  --check  read the settings, report errors in them, and exit
 """
 
 
 def main(arguments: list[str] | None = None) -> int:
     """Run the node until SIGTERM; return the exit code."""
-    words = argv[1:] if arguments is None else arguments
-    if "--help" in words:
+    options = argv[1:] if arguments is None else arguments
+    if "--help" in options:
         print(USAGE)
         return 0
     path = Path(environ.get(PATH_VARIABLE, ""))
@@ -37,7 +37,7 @@
     if loaded.is_error():
         print(loaded.error.describe(), file=stderr)
         return 2
-    if "--check" in words:
+    if "--check" in options:
         print(f"{path}: settings of {loaded.ok.vm} are good")
         return 0
     configure_journal()
@@ -72,7 +72,7 @@
 
 
 def _reload(settings: NodeSettings, path: Path) -> None:
-    """Say what changed; addresses take effect at the next start."""
+    """Log which settings changed; a change takes effect on restart."""
     loaded = load_node_settings(path)
     if loaded.is_error():
         log_event("settings-refused", detail=loaded.error.detail)
--- a/redwingpost/cli/running.py
+++ b/redwingpost/cli/running.py
@@ -1,4 +1,4 @@
-"""Run one service until it is asked to stop."""
+"""Run one service until a signal stops it."""
 
 from asyncio import Event, get_running_loop, run
 from collections.abc import Awaitable, Callable
@@ -14,16 +14,16 @@
 
 
 def configure_logs(settings: LogSettings) -> None:
-    """Send JSON lines to standard error.
+    """Log JSON lines to standard error.
 
-    The protocol library logs statements and failed logins in its own
-    words; what callers sent never belongs in a log, so it is silenced
-    and the adapters log numbers instead.
+    The protocol library logs statements and failed logins. A log must not
+    contain what callers sent, so the library is silenced, and the
+    adapters log numbers instead.
     """
     logger.remove()
     logger.add(stderr, level=settings.level, serialize=True, diagnose=False)
     getLogger("mysql_mimic").setLevel(CRITICAL)
-    # The loop warns at each TLS connection of how streams handle an end.
+    # asyncio warns at each TLS connection about how streams handle EOF.
     getLogger("asyncio").setLevel(ERROR)
 
 
@@ -36,9 +36,9 @@
     Parameters
     ----------
     make : callable
-        Makes the service, inside the running loop.
+        Creates the service, inside the running event loop.
     drain : callable, optional
-        Awaited before the stop.
+        Drains the service; awaited before the service stops.
     """
     run(_run(make, drain))
 
--- a/redwingpost/cli/standin.py
+++ b/redwingpost/cli/standin.py
@@ -1,4 +1,4 @@
-"""``redwing-standin``: run a stand-in, list its faults."""
+"""``redwing-standin``: run a stand-in or list its faults."""
 
 from asyncio import Event, get_running_loop, run as run_loop
 from collections.abc import Callable
@@ -51,7 +51,7 @@
 def _run(path: Path, parse: Callable, kind: Callable[[Any], Service]) -> None:
     logger.remove()
     logger.add(stderr, serialize=True, level="INFO")
-    # The library logs each refused statement as an error of its own.
+    # The library logs each refused statement as an error.
     getLogger("mysql_mimic").setLevel(CRITICAL)
     settings = read_settings(path, parse)
     if settings.is_error():
@@ -80,7 +80,7 @@
 
 @app.command()
 def faults() -> None:
-    """List the faults that a stand-in's fault port takes.
+    """List the faults that a stand-in's fault port accepts.
 
     Example: redwing-standin faults
     """
@@ -95,7 +95,7 @@
 
 
 def main() -> None:
-    """Entry point of the console script."""
+    """Run the command line."""
     app()
 
 
--- a/redwingpost/cli/tests/test_ctl.py
+++ b/redwingpost/cli/tests/test_ctl.py
@@ -40,13 +40,13 @@
 site.kind("order", weight=4.0)
 """
 
-#: Longest wait for something to arrive (seconds); used up only by a
-#: machine that stands still.
-LIMIT_S = 30.0
+#: Seconds to wait for the fleet to start or stop; reached only on a stalled
+#: VM.
+TIMEOUT_S = 30.0
 
 
 class SmallFleet:
-    """A platform and two agents in a thread."""
+    """A platform and two agents that run in a thread."""
 
     def __init__(self) -> None:
         self._loop = new_event_loop()
@@ -57,15 +57,15 @@
         self.agents: list[Agent] = []
 
     def start(self) -> None:
-        """Start and wait until all have met."""
+        """Start and wait until the agents have each other's heartbeats."""
         self._thread.start()
-        if not self._ready.wait(LIMIT_S):
+        if not self._ready.wait(TIMEOUT_S):
             raise TimeoutError("the fleet did not start")
 
     def stop(self) -> None:
         """Stop everything."""
         self._loop.call_soon_threadsafe(self._done.set)
-        self._thread.join(LIMIT_S)
+        self._thread.join(TIMEOUT_S)
 
     def _run(self) -> None:
         self._loop.run_until_complete(self._serve())
@@ -151,7 +151,7 @@
         refused = self.run_ctl("validate", broken, code=1)
         self.assertEqual(refused["code"], 20601)
 
-    def test_an_operators_day(self):
+    def test_operator_commands_in_sequence(self):
         first = self.write("first.json", dumps(GOOD).encode())
         self.assertEqual(
             self.run_ctl("submit", first, "--base", "0")["version"], 1
@@ -177,10 +177,10 @@
         audit = self.run_ctl("log", "--after", "3")
         self.assertEqual([entry["who"] for entry in audit], ["ana", "ana"])
         waiting = "no proxy takes the agent's feed"
-        self.until_reasons({"vm-1": waiting, "vm-2": waiting})
+        self.wait_for_reasons({"vm-1": waiting, "vm-2": waiting})
 
-    def until_reasons(self, expected: dict[str, str]) -> None:
-        """Ask for the status until heartbeats have brought it level."""
+    def wait_for_reasons(self, expected: dict[str, str]) -> None:
+        """Poll the status until heartbeats have brought it up to date."""
         for _ in range(100):
             status = self.run_ctl("status")
             reasons = {line["vm"]: line["reason"] for line in status["vms"]}
--- a/redwingpost/cli/tests/test_docs.py
+++ b/redwingpost/cli/tests/test_docs.py
@@ -1,7 +1,7 @@
-"""The pages say what the code says: codes, promises, commands.
+"""Tests that the documentation matches the code: codes, promises, commands.
 
-A page that names a test, a module or a command that is gone misleads
-whoever reads it in the middle of a failure.
+A page that names a removed test, module or command misleads an operator
+during a failure.
 """
 
 from importlib import import_module
--- a/redwingpost/cli/tests/test_node_imports.py
+++ b/redwingpost/cli/tests/test_node_imports.py
@@ -1,4 +1,4 @@
-"""What the node's program loads before it serves."""
+"""Tests of the modules that the node's program loads at start."""
 
 from subprocess import run
 from sys import executable
@@ -6,7 +6,7 @@
 
 _PROGRAM = "import sys, redwingpost.cli.node; print(*sys.modules)"
 
-#: Of no use to a node, and seconds or megabytes at each of its starts.
+#: Modules that a node doesn't use; each costs start-up time or memory.
 _UNWANTED = (
     "aiohttp",
     "asyncmy",
@@ -30,10 +30,10 @@
 
 class NodeImportsTest(TestCase):
     def test_the_node_loads_only_what_it_uses(self) -> None:
-        """All VMs lose power and start again.
+        """All VMs lose power and restart.
 
-        Callers are refused until the programs have loaded; each tenth of
-        a second is twenty operations that nobody serves.
+        Callers are refused until the programs have loaded; each 0.1 s is
+        twenty operations that no VM serves.
         """
         done = run(
             [executable, "-c", _PROGRAM],
--- a/redwingpost/cli/tests/test_tour.py
+++ b/redwingpost/cli/tests/test_tour.py
@@ -1,6 +1,6 @@
-"""The README's tour, command by command, on free ports.
+"""Runs the commands of the README's tour on free ports.
 
-A stranger types exactly these lines first; one that fails is the last.
+New users run these commands first, so each of them must work.
 """
 
 from json import dumps, loads
@@ -16,7 +16,7 @@
 from redwingpost.bench.ports import find_free_port
 
 ROOT = Path(__file__).resolve().parents[3]
-LIMIT_S = 60
+TIMEOUT_S = 60
 
 #: Console scripts of the tour as modules, which need no installation.
 MODULES_BY_SCRIPT = {
@@ -80,7 +80,7 @@
 
     def finish(self, command):
         done = run(
-            command, cwd=ROOT, stdout=PIPE, stderr=PIPE, timeout=LIMIT_S
+            command, cwd=ROOT, stdout=PIPE, stderr=PIPE, timeout=TIMEOUT_S
         )
         self.assertEqual(done.returncode, 0, done.stderr.decode())
         return done.stdout.decode()
@@ -88,7 +88,7 @@
     def stop(self, child):
         child.send_signal(SIGTERM)
         try:
-            return child.wait(LIMIT_S)
+            return child.wait(TIMEOUT_S)
         except Exception:
             child.kill()
             child.wait()
--- a/redwingpost/operator/tests/test_refusals.py
+++ b/redwingpost/operator/tests/test_refusals.py
@@ -8,7 +8,7 @@
 from typer.testing import CliRunner
 
 from redwingpost.cli.ctl import app
-from redwingpost.cli.ctl_work import REFUSED
+from redwingpost.cli.ctl_common import EXIT_REFUSED
 
 from redwingpost.operator.refusals import Cause, count_causes, find_cause
 
@@ -81,7 +81,7 @@
         self.assertEqual(0, shown.exit_code, shown.output)
         (cause,) = loads(shown.output)["causes"]
         self.assertEqual(("starting", 1), (cause["code"], cause["count"]))
-        self.assertEqual(REFUSED, gone.exit_code)
+        self.assertEqual(EXIT_REFUSED, gone.exit_code)
 
 
 class CountTest(TestCase):
