--- a/redwingpost/tests/test_testing.py
+++ b/redwingpost/tests/test_testing.py
@@ -1,4 +1,4 @@
-"""How the list of known failures is read."""
+"""Tests of reading the list of known failures."""
 
 from pathlib import Path
 from tempfile import TemporaryDirectory
@@ -14,7 +14,7 @@
 
 class KnownRedTest(TestCase):
     def test_what_the_list_holds(self) -> None:
-        """Guards against a fault without a test that is never printed."""
+        """Guards against a fault that no test shows and that isn't printed."""
         with TemporaryDirectory() as folder:
             path = Path(folder) / "list"
             path.write_text(_LIST)
