--- a/redwingpost/cli/ctl.py
+++ b/redwingpost/cli/ctl.py
@@ -314,18 +314,18 @@
     actions: OperatorActions, organisation: str, key: str
 ) -> Result:
     """Return the hash of a key; ``key`` is its name or the hash itself."""
-    given_hash = Withdrawal(organisation, key)
+    withdrawal = Withdrawal(organisation, key)
     if len(key) == 40 and all(c in "0123456789abcdef" for c in key):
-        return Ok(given_hash.key_hash)
+        return Ok(withdrawal.key_hash)
     head = await actions.log.head()
     if head.is_error():
         return head
     parsed = parse_configuration(head.ok.version.body)
-    found = parsed.ok.organisations_by_name.get(organisation)
-    if found is None or key not in found.keys_by_name:
+    rules = parsed.ok.organisations_by_name.get(organisation)
+    if rules is None or key not in rules.keys_by_name:
         detail = f"{organisation!r} has no key named {key!r}"
         return Error(Refusal(Code.NOT_FOUND, detail))
-    return Ok(found.keys_by_name[key].key_hash)
+    return Ok(rules.keys_by_name[key].key_hash)
 
 
 async def _drain_vm(actions: OperatorActions, vm: str) -> Result:
--- a/redwingpost/cli/ctl_refusals.py
+++ b/redwingpost/cli/ctl_refusals.py
@@ -26,7 +26,7 @@
         echo(f"can't read a log: {error}", err=True)
         raise Exit(EXIT_REFUSED) from error
     shown = {"span": span, "causes": [_as_fields(line) for line in lines]}
-    show_result(context.obj, shown, _table(lines))
+    show_result(context.obj, shown, _make_table(lines))
 
 
 def _read_lines(paths: list[Path]) -> Iterator[str]:
@@ -43,7 +43,7 @@
     }
 
 
-def _table(lines: tuple[CauseLine, ...]) -> Table:
+def _make_table(lines: tuple[CauseLine, ...]) -> Table:
     table = Table("code", "why", "requests", "worst span", "from")
     for line in lines:
         begin, highest = max(line.count_by_span.items(), key=_by_count)
--- a/redwingpost/cli/ctl_usage.py
+++ b/redwingpost/cli/ctl_usage.py
@@ -39,7 +39,7 @@
         echo(f"can't read a node's metrics: {error}", err=True)
         raise Exit(EXIT_REFUSED) from error
     shown = {"seconds": seconds, "lines": [line._asdict() for line in lines]}
-    show_result(context.obj, shown, _table(lines))
+    show_result(context.obj, shown, _make_table(lines))
 
 
 async def _measure(nodes: tuple[str, ...], seconds: float) -> tuple:
@@ -65,7 +65,7 @@
         client.close()
 
 
-def _table(lines: tuple[UsageLine, ...]) -> Table:
+def _make_table(lines: tuple[UsageLine, ...]) -> Table:
     table = Table(
         "group", "organisation", "offered", "granted", "refused", "why"
     )
