--- a/redwingpost/node/group.py
+++ b/redwingpost/node/group.py
@@ -28,7 +28,7 @@
 from redwingpost.node.forwarding.homes import HomeView
 from redwingpost.node.lead_proofs import LeadProofs
 from redwingpost.node.member import MemberClient
-from redwingpost.node.request.placing import Placing, rank_for_read
+from redwingpost.node.request.read_ranking import ReadContext, rank_for_read
 from redwingpost.observability.journal import log_event
 from redwingpost.pools.pool import IDLE_S
 from redwingpost.ports.clock import Clock
@@ -167,7 +167,7 @@
             client.failing_s <= USELESS_AFTER_S for client in replicas
         )
 
-    def is_out_of_reach(self) -> bool:
+    def is_primary_unreachable(self) -> bool:
         """Say whether the known primary doesn't answer this VM.
 
         What is sent to it would hang until its time is over; the caller
@@ -187,7 +187,7 @@
             for client in self.member_by_name.values()
             if self.takes_work(client) and client.may_read(now)
         ]
-        place = Placing(organisation, self._data_centre, now)
+        place = ReadContext(organisation, self._data_centre, now)
         return rank_for_read(clients, self.evidence, place)
 
     # Homes -------------------------------------------------------------
@@ -287,7 +287,7 @@
             await shield(self._round)
         await self.run_round()
 
-    async def wait_change(self, patience: float) -> None:
+    async def wait_for_change(self, patience: float) -> None:
         """Wait until the primary or the proofs change."""
         event = self._changed
         try:
--- a/redwingpost/node/lead_proofs.py
+++ b/redwingpost/node/lead_proofs.py
@@ -103,7 +103,7 @@
             default=NO_REPLICA_S,
         )
 
-    async def ask_replicas(self, leader: str) -> tuple[ReplicaAnswer, ...]:
+    async def query_replicas(self, leader: str) -> tuple[ReplicaAnswer, ...]:
         """Ask all members but one for a report."""
         asked_at = self._clock.now()
         clients = [
--- a/redwingpost/node/member.py
+++ b/redwingpost/node/member.py
@@ -75,7 +75,7 @@
         self.failure = failure
 
 
-class NoPlace(Exception):
+class NoConnectionFree(Exception):
     """No connection came free in time."""
 
 
@@ -89,7 +89,7 @@
         self.budget = ConnectionBudget()
         self.pool = MemberPool(self.budget)
         self.latency = LatencyTracker()
-        self.under_way = 0
+        self.statements_in_flight = 0
         self.behind_until = float("-inf")
         self.answered_at = clock.now()
         self.failed_at = float("-inf")
@@ -349,7 +349,7 @@
         """Wait for a place; return early after ``at_most_s``."""
         left_s = until - self._clock.now()
         if left_s <= 0.0:
-            raise NoPlace()
+            raise NoConnectionFree()
         patience = min(left_s, at_most_s)
         future = get_running_loop().create_future()
         heappush(self._waiting, (priority, next(self._order), future))
@@ -357,7 +357,7 @@
             await wait_for(future, patience)
         except TimeoutError as error:
             if patience == left_s:
-                raise NoPlace() from error
+                raise NoConnectionFree() from error
         except CancelledError:
             # Woken and cancelled at once: the place goes to the next, who
             # would otherwise wait although it is free.
@@ -389,6 +389,6 @@
                 return
 
 
-def is_good(reply: Reply) -> bool:
+def is_proven_success(reply: Reply) -> bool:
     """Say whether a reply is a success with the member's proof."""
     return reply.failure is None and reply.proof not in ("", "-")
--- a/redwingpost/node/request/__init__.py
+++ b/redwingpost/node/request/__init__.py
@@ -1,1 +1,1 @@
-"""A request on its way: session, admission, read, write, transaction."""
+"""Handling of requests: sessions, admission, reads, writes, transactions."""
--- a/redwingpost/node/request/admission.py
+++ b/redwingpost/node/request/admission.py
@@ -1,4 +1,4 @@
-"""May this operation run: its key, its route, its rate."""
+"""Admission of operations: checks key, route and the organisation's rate."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -16,7 +16,8 @@
 from redwingpost.ports.clock import Clock
 from redwingpost.rates.usage import UsageLedger
 
-#: Name that members see for callers of a public route without a key.
+#: Organisation name sent to members for callers of a public route that have
+#: no key.
 PUBLIC_NAME = "public"
 
 _NO_LIMIT = OrganisationRule(
@@ -25,7 +26,7 @@
 
 
 class Admitted(NamedTuple):
-    """An operation that may run, by the rules of one version."""
+    """An operation that passed the checks of one configuration version."""
 
     route: RouteRule
     organisation: OrganisationRule
@@ -33,9 +34,10 @@
 
 
 class Admission:
-    """Holds the rules in force and the organisations' rates.
+    """Checks operations against the rules in force and the rate limits.
 
-    ``on_admitted`` gets the organisation of each admitted operation.
+    ``on_admitted`` is called with the organisation of each operation that
+    a rate limit admitted.
     """
 
     def __init__(self, vms: VmTable, ledger: UsageLedger, clock: Clock):
@@ -47,11 +49,11 @@
 
     @property
     def has_rules(self) -> bool:
-        """Whether a configuration has arrived."""
+        """Whether a configuration has been received."""
         return self.rules is not NO_RULES
 
     def take_rules(self, rules: ServiceRules) -> bool:
-        """Put a version in force; never goes back to an older one."""
+        """Put rules in force; return False if they aren't newer."""
         if rules.version <= self.rules.version:
             return False
         log_event(
@@ -65,7 +67,7 @@
         return True
 
     def check(self, database: str, key: str) -> Admitted | Refusal:
-        """Check key and route by the version in force."""
+        """Check key and route against the rules in force."""
         if not self.has_rules:
             return Refusal(Code.STARTING, "", 500)
         route = self.rules.routes_by_database.get(database)
@@ -83,19 +85,19 @@
         rule = self.rules.groups_by_name.get(group)
         return 0 if rule is None else rule.sync_replicas
 
-    def give_back(self, organisation: OrganisationRule) -> None:
+    def refund_operation(self, organisation: OrganisationRule) -> None:
         """Undo ``spend`` for an operation that reached no member."""
         self._ledger.refund(organisation.name)
 
     def spend(
         self, organisation: OrganisationRule, request: str
     ) -> Refusal | None:
-        """Take one operation from an organisation's rate, or refuse.
+        """Take a token for one operation, or refuse it.
 
         Parameters
         ----------
         organisation : OrganisationRule
-            Whose rate.
+            The organisation whose rate limit applies.
         request : str
             Id of the statement that begins the operation, for the log.
         """
--- a/redwingpost/node/request/attempt.py
+++ b/redwingpost/node/request/attempt.py
@@ -1,11 +1,15 @@
-"""One statement on one member: claim, set up, run, give back."""
+"""One attempt to run a statement on a pooled connection of one member."""
 
 from collections.abc import Callable
 from typing import NamedTuple
 
 from redwingpost.core.positions import Position
 from redwingpost.core.statements import Shape, Statement
-from redwingpost.node.member import MemberClient, MemberRefused, NoPlace
+from redwingpost.node.member import (
+    MemberClient,
+    MemberRefused,
+    NoConnectionFree,
+)
 from redwingpost.pools.pool import PooledLink
 from redwingpost.ports.clock import Clock
 from redwingpost.ports.database import (
@@ -20,7 +24,7 @@
 
 
 class Caller(NamedTuple):
-    """Whose statement it is and how urgent."""
+    """The caller's organisation, session state and priority."""
 
     organisation: str
     state: SessionState
@@ -28,13 +32,13 @@
 
 
 class NotSent(NamedTuple):
-    """The statement never reached the member."""
+    """The statement was not sent to the member."""
 
     reason: str
 
 
 class NoAnswer(NamedTuple):
-    """The statement was sent; what became of it isn't known."""
+    """The statement was sent but not answered; it may have run."""
 
     reason: str
 
@@ -42,59 +46,61 @@
 Outcome = Reply | NotSent | NoAnswer
 
 
-async def run_alone(
+async def run_standalone(
     client: MemberClient,
     caller: Caller,
     statement: Statement,
     after: Position | None,
-    until: float,
+    deadline: float,
     clock: Clock,
     is_wanted: Callable[[], bool] = lambda: True,
 ) -> Outcome:
-    """Run a statement that stands alone on a pooled connection.
+    """Run a statement outside a transaction on a pooled connection.
 
     Parameters
     ----------
     client : MemberClient
         The member.
     caller : Caller
-        Whose statement it is.
+        The caller that sent the statement.
     statement : Statement
-        What to run.
+        The statement to run.
     after : Position or None
-        What the member must hold first.
-    until : float
-        When to give up waiting for a connection (seconds).
+        Position that the member must hold before it runs the statement.
+    deadline : float
+        When to stop waiting for a connection (seconds).
     clock : Clock
-        For the measured time.
+        Measures waiting and running times.
     is_wanted : callable, optional
-        Says, once there is a connection, whether to send the statement
-        at all.
+        Called once a connection is claimed; the statement is sent only if
+        it returns True.
     """
     shape = caller.state.shape_of(statement.name)
-    # Kept here: an attempt that lost a race ends while the session runs
-    # its next statement, whose times it must not change.
+    # Kept in a local: a hedged attempt that came second may end while the
+    # session runs its next statement, whose trace it must not change.
     trace = caller.state.trace
-    client.under_way += 1
+    client.statements_in_flight += 1
     try:
-        item = await claim(client, caller, shape, until, clock)
-        if isinstance(item, NotSent):
-            return item
+        pooled = await claim_connection(client, caller, shape, deadline, clock)
+        if isinstance(pooled, NotSent):
+            return pooled
         if not is_wanted():
-            # The session may be at its next statement by now, and have
-            # set other values: this one would run with those.
-            client.release(item)
+            # The session may already run its next statement with other
+            # session values: this statement would run with those.
+            client.release(pooled)
             return NotSent("another answer came first")
         started_at = clock.now()
         trace.note_sent()
         try:
-            outcome = await run_on(client, item, statement, after, shape)
+            outcome = await run_on_connection(
+                client, pooled, statement, after, shape
+            )
         finally:
             trace.note_run(client.entry.member, clock.now() - started_at)
     finally:
-        client.under_way -= 1
+        client.statements_in_flight -= 1
     if isinstance(outcome, NoAnswer):
-        client.discard(item)
+        client.discard(pooled)
         return outcome
     if outcome.failure is None:
         now = clock.now()
@@ -102,89 +108,90 @@
     elif outcome.failure.kind in DID_NOT_RUN:
         trace.note_not_run()
     if _is_unusable(outcome):
-        client.discard(item)
+        client.discard(pooled)
     else:
-        client.release(item)
+        client.release(pooled)
     return outcome
 
 
-async def claim(
+async def claim_connection(
     client: MemberClient,
     caller: Caller,
     shape: Shape | None,
-    until: float,
+    deadline: float,
     clock: Clock,
 ) -> PooledLink | NotSent:
-    """Claim a connection that is ready for a session's statement."""
+    """Claim a connection and set the session's values on it."""
     trace = caller.state.trace
-    asked_at = clock.now()
+    requested_at = clock.now()
     try:
-        item = await client.acquire(
+        pooled = await client.acquire(
             caller.organisation,
             caller.state.values_by_name,
             shape,
             caller.priority,
-            until,
+            deadline,
         )
-    except NoPlace:
+    except NoConnectionFree:
         return NotSent("no connection came free")
     except MemberRefused as refused:
         return NotSent(refused.failure.word)
     except LinkLost as lost:
         return NotSent(lost.detail)
     finally:
-        trace.note_wait(client.entry.member, clock.now() - asked_at)
-    is_ready = await make_ready(client, item, caller.state)
-    return item if is_ready else NotSent("set-up failed")
+        trace.note_wait(client.entry.member, clock.now() - requested_at)
+    is_ready = await make_ready(client, pooled, caller.state)
+    return pooled if is_ready else NotSent("set-up failed")
 
 
 async def make_ready(
-    client: MemberClient, item: PooledLink, state: SessionState
+    client: MemberClient, pooled: PooledLink, state: SessionState
 ) -> bool:
-    """Set a claimed connection up; one that can't be is dropped."""
+    """Set the session's values on a connection; discard it if that fails."""
     try:
-        await client.make_ready(item, state)
+        await client.make_ready(pooled, state)
         return True
     except (MemberRefused, LinkLost):
-        client.discard(item)
+        client.discard(pooled)
         return False
     except BaseException:
-        client.discard(item)
+        client.discard(pooled)
         raise
 
 
-async def run_on(
+async def run_on_connection(
     client: MemberClient,
-    item: PooledLink,
+    pooled: PooledLink,
     statement: Statement,
     after: Position | None,
     shape: Shape | None,
 ) -> Reply | NoAnswer:
-    """Run a statement on a connection that is ready.
+    """Run a statement on a claimed connection that is set up.
 
-    The connection stays claimed, but for one whose caller gave up: the
-    answer to come would be taken for that of the next statement.
+    The connection stays claimed, unless the call is cancelled: then it is
+    discarded, as the late answer would be read as that of the next
+    statement.
     """
     prepared_as = prepared_name(shape) if shape is not None else ""
-    missing = prepare_step(item.contents, shape)
+    missing = prepare_step(pooled.contents, shape)
     client.note_sent()
     try:
-        reply = await item.link.run(statement, after, prepared_as, missing)
+        reply = await pooled.link.run(statement, after, prepared_as, missing)
     except LinkLost as lost:
         return NoAnswer(lost.detail)
     except BaseException:
-        client.discard(item)
+        client.discard(pooled)
         raise
     finally:
         client.note_ended()
     client.note_answer()
     if missing is not None and reply.failure is None:
-        item.contents.apply(missing)
+        pooled.contents.apply(missing)
     return reply
 
 
 def _is_unusable(reply: Reply) -> bool:
-    """Say whether the connection may no longer serve others."""
+    """Return whether the connection must not be used by others."""
     if reply.in_transaction:
         return True
     failure: MemberFailure | None = reply.failure
--- a/redwingpost/node/request/commits.py
+++ b/redwingpost/node/request/commits.py
@@ -1,4 +1,4 @@
-"""Tell a writer that its commit is kept only where that is certain."""
+"""Confirms that a commit is kept before it is reported to the caller."""
 
 from asyncio import sleep
 from typing import NamedTuple
@@ -15,8 +15,9 @@
 from redwingpost.observability.journal import log_event
 from redwingpost.ports.clock import Clock
 
-#: Seconds between questions while the replicas leave a commit open.
-ASK_AGAIN_S = 0.05
+#: Seconds between queries while the replicas' reports don't decide whether
+#: a commit is kept.
+POLL_INTERVAL_S = 0.05
 
 
 class AcknowledgedCommit(NamedTuple):
@@ -35,26 +36,26 @@
     sync_replicas: int,
     clock: Clock,
 ) -> bool:
-    """Say whether a commit is kept; False where that can't be known.
+    """Return whether a commit is kept; False if that can't be determined.
 
     A replica confirmed it to the primary, which is enough unless a takeover
-    may be under way (``redwingpost.groups.confirmation``) or is over. Where
-    none had to (``sync_replicas`` 0), a primary that was replaced would have
-    taken it all the same.
+    may be in progress (``redwingpost.groups.confirmation``) or is complete.
+    If no replica had to (``sync_replicas`` 0), a primary that was replaced
+    would also have acknowledged it, so its lead must be proven.
     """
     if sync_replicas == 0:
         return await group.prove()
     signs = group.proofs.signs()
-    if needs_confirmation(signs) or not _leads(group, leader, commit):
-        verdict = await _ask_until_clear(group, leader, commit, clock)
-        if verdict is not CommitStatus.KEPT:
+    if needs_confirmation(signs) or not _still_leads(group, leader, commit):
+        status = await _poll_replicas(group, leader, commit, clock)
+        if status is not CommitStatus.KEPT:
             log_event(
                 "commit-unconfirmed",
                 request=commit.request,
                 group=group.name,
                 member=leader.entry.member,
                 position=str(commit.position),
-                verdict=verdict.value,
+                verdict=status.value,
                 **signs._asdict(),
             )
             return False
@@ -62,7 +63,7 @@
     return True
 
 
-async def _ask_until_clear(
+async def _poll_replicas(
     group: GroupClient,
     leader: MemberClient,
     commit: AcknowledgedCommit,
@@ -74,22 +75,22 @@
         term = commit.position.term
     while True:
         if held_up_s < HELD_UP_S and await group.prove():
-            # The proof is of whoever is known to lead by now.
-            if _leads(group, leader, commit):
+            # The proof holds for the primary known now, which may be new.
+            if _still_leads(group, leader, commit):
                 return CommitStatus.KEPT
-        answers = await group.proofs.ask_replicas(leader.entry.member)
-        verdict = check_commit(term, answers, held_up_s)
-        if verdict is CommitStatus.REPLACED and _is_in_new_log(group, commit):
+        answers = await group.proofs.query_replicas(leader.entry.member)
+        status = check_commit(term, answers, held_up_s)
+        if status is CommitStatus.REPLACED and _is_in_new_log(group, commit):
             return CommitStatus.KEPT
-        if verdict is not CommitStatus.OPEN or clock.now() >= commit.deadline:
-            return verdict
-        await sleep(ASK_AGAIN_S)
+        if status is not CommitStatus.OPEN or clock.now() >= commit.deadline:
+            return status
+        await sleep(POLL_INTERVAL_S)
 
 
-def _leads(
+def _still_leads(
     group: GroupClient, leader: MemberClient, commit: AcknowledgedCommit
 ) -> bool:
-    """Say whether nobody is known to have replaced a commit's primary."""
+    """Return whether the commit's primary isn't known to be replaced."""
     evidence = group.evidence
     if evidence.leader != leader.entry.member:
         return False
--- a/redwingpost/node/request/placing.py
+++ b/redwingpost/node/request/read_ranking.py
@@ -1,4 +1,4 @@
-"""Describe a group's members to the choice of who serves a read."""
+"""Ranks a group's members as candidates to serve a read."""
 
 from typing import NamedTuple
 
@@ -12,8 +12,11 @@
 from redwingpost.node.member import MemberClient
 
 
-class Placing(NamedTuple):
-    """Whose read is to be placed, by whom, and when (seconds)."""
+class ReadContext(NamedTuple):
+    """The read's organisation, this VM's data centre and the time (seconds).
+
+    The time is that of the choice.
+    """
 
     organisation: str
     data_centre: str
@@ -21,29 +24,29 @@
 
 
 def rank_for_read(
-    clients: list[MemberClient], evidence: GroupEvidence, placing: Placing
+    clients: list[MemberClient], evidence: GroupEvidence, context: ReadContext
 ) -> list[MemberClient]:
     """Return the members, the best first.
 
     Parameters
     ----------
     clients : list of MemberClient
-        Those that may serve the read.
+        Members that may serve the read.
     evidence : GroupEvidence
-        Who leads, and what members reported.
-    placing : Placing
-        Whose read it is.
+        The known primary and the members' last reports.
+    context : ReadContext
+        Organisation, data centre and time of the choice.
     """
-    # A member whose time isn't known counts as the best that is.
+    # A member without a known latency gets the best known one.
     known_s = [
         client.latency.smoothed_s
         for client in clients
-        if client.latency.is_known(placing.now)
+        if client.latency.is_known(context.now)
     ]
     best_s = min(known_s, default=INITIAL_LATENCY_S)
     client_by_member = {client.entry.member: client for client in clients}
     candidates = [
-        _candidate(client, evidence, placing, best_s) for client in clients
+        _candidate(client, evidence, context, best_s) for client in clients
     ]
     return [client_by_member[member] for member in rank(candidates)]
 
@@ -51,18 +54,18 @@
 def _candidate(
     client: MemberClient,
     evidence: GroupEvidence,
-    placing: Placing,
+    context: ReadContext,
     best_s: float,
 ) -> Candidate:
-    is_known = client.latency.is_known(placing.now)
-    heard = evidence.last_report(client.entry.member)
+    is_known = client.latency.is_known(context.now)
+    last = evidence.last_report(client.entry.member)
     return Candidate(
         client.entry.member,
         client.latency.smoothed_s if is_known else best_s,
-        client.under_way,
-        heard.report.busy if heard is not None else 0,
-        client.pool.has_idle(placing.organisation),
+        client.statements_in_flight,
+        last.report.busy if last is not None else 0,
+        client.pool.has_idle(context.organisation),
         client.entry.member == evidence.leader,
-        client.entry.data_centre == placing.data_centre,
+        client.entry.data_centre == context.data_centre,
         client.entry.slots or ASSUMED_SLOTS,
     )
--- a/redwingpost/node/request/reads.py
+++ b/redwingpost/node/request/reads.py
@@ -1,4 +1,4 @@
-"""Serve reads that stand alone: plan, place, hedge, prove."""
+"""Runs reads outside transactions: chooses a member, hedges, proves."""
 
 from asyncio import (
     FIRST_COMPLETED,
@@ -17,13 +17,13 @@
 from redwingpost.groups.choice import LAGGING_PAUSE_S
 from redwingpost.groups.reads import ReadPlan, plan_read
 from redwingpost.node.group import GroupClient
-from redwingpost.node.member import MemberClient, is_good
+from redwingpost.node.member import MemberClient, is_proven_success
 from redwingpost.node.request.attempt import (
     Caller,
     NoAnswer,
     NotSent,
     Outcome,
-    run_alone,
+    run_standalone,
 )
 from redwingpost.ports.clock import Clock
 from redwingpost.ports.database import (
@@ -35,16 +35,19 @@
 from redwingpost.retries.budget import RetryBudget
 
 #: Seconds that a statement waits for a primary to be known: a planned
-#: change shows within tens of milliseconds; a lost primary takes longer
-#: than callers wait, and they may find another VM better off.
-LEADER_WAIT_S = 0.5
+#: change of primary takes tens of milliseconds; replacing a lost one takes
+#: longer than callers wait, and another VM may reach it for them.
+LEADER_TIMEOUT_S = 0.5
 
-#: Members tried for one read, the first included.
+#: Attempts at one statement, the first included.
 MAX_TRIES = 4
 
 
 class ReadRequest(NamedTuple):
-    """A read with its route; times are seconds."""
+    """A statement outside a transaction, its caller and route.
+
+    ``arrived_at`` is in seconds.
+    """
 
     statement: Statement
     caller: Caller
@@ -53,60 +56,67 @@
 
     @property
     def deadline(self) -> float:
-        """When the statement's time is over."""
+        """When the route's timeout ends (seconds)."""
         return self.arrived_at + self.route.timeout_s
 
 
 Result = Answer | MemberFailure | Refusal
 
 
-class Race:
-    """Attempts at one read; over once the caller has its answer."""
+class HedgeState:
+    """State shared by the hedged attempts at one read.
+
+    ``is_over`` is set once the caller has its answer.
+    """
 
     is_over = False
 
 
 class ReadRunner:
-    """Runs reads of one node."""
+    """Runs the reads of one VM."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._budget = RetryBudget()
-        self._left_running: set[Task] = set()
+        self._unfinished_attempts: set[Task] = set()
 
     async def run(self, group: GroupClient, read: ReadRequest) -> Result:
-        """Return the answer to a read, or why there is none."""
+        """Return the answer to a read, or the failure or refusal."""
         self._budget.earn()
         for _ in range(MAX_TRIES):
             plan = await plan_with_sample(group, read)
             if plan.needs_proof:
-                result = await self._at_primary(group, read)
+                result = await self._run_at_primary(group, read)
             else:
-                result = await self._anywhere(group, read, plan)
+                result = await self._run_at_any_member(group, read, plan)
             if result is not None:
                 return result
-            if self._left_s(read) <= 0.0:
+            if self._remaining_s(read) <= 0.0:
                 break
-        return Refusal(Code.NOT_FRESH, "no member proved fresh in time", 200)
+        return Refusal(
+            Code.NOT_FRESH, "no member proved to be fresh in time", 200
+        )
 
-    async def _at_primary(
+    async def _run_at_primary(
         self, group: GroupClient, read: ReadRequest
     ) -> Result | None:
-        """Run at the primary; None where its lead wasn't proven."""
+        """Run at the primary; return None if its lead wasn't proven."""
         leader = await await_leader(group, read.deadline, self._clock)
         if leader is None:
             return Refusal(Code.NO_PRIMARY, "", 500)
-        refused = group.refuse_unprovable(self._left_s(read))
+        refused = group.refuse_unprovable(self._remaining_s(read))
         if refused is not None:
             return refused
         proof = create_task(group.prove())
-        outcome = await self._race(read, [leader, leader], None)
-        result = self._judge(group, leader, outcome)
+        outcome = await self._run_hedged(read, [leader, leader], None)
+        result = self._to_result(group, leader, outcome)
         if not isinstance(result, Answer):
             proof.cancel()
             return result
         try:
-            is_proven = await wait_for(proof, max(self._left_s(read), 0.001))
+            is_proven = await wait_for(
+                proof, max(self._remaining_s(read), 0.001)
+            )
         except TimeoutError:
             is_proven = False
         if is_proven and group.evidence.leader == leader.entry.member:
@@ -114,101 +124,103 @@
         await group.fresh_round()
         return None
 
-    async def _anywhere(
+    async def _run_at_any_member(
         self, group: GroupClient, read: ReadRequest, plan: ReadPlan
     ) -> Result | None:
-        """Run at the best member; None where none of them could."""
+        """Run at the best member; return None if there is none at present."""
         ranked = group.ranked(read.caller.organisation)
         if not ranked:
-            await group.wait_change(min(0.2, self._left_s(read)))
+            await group.wait_for_change(min(0.2, self._remaining_s(read)))
             return None
-        outcome = await self._race(read, ranked, plan.after)
+        outcome = await self._run_hedged(read, ranked, plan.after)
         if isinstance(outcome, NoAnswer):
             return Refusal(Code.TIMED_OUT, outcome.reason)
         if isinstance(outcome, NotSent):
             return Refusal(Code.TARGET_LOST, outcome.reason, 100)
-        if is_good(outcome):
+        if is_proven_success(outcome):
             return Answer(outcome.rows, outcome.proof)
-        return self._judge_failure(outcome.failure)
+        return self._to_failure_result(outcome.failure)
 
-    async def _race(
+    async def _run_hedged(
         self,
         read: ReadRequest,
         clients: list[MemberClient],
         after: Position | None,
     ) -> Outcome:
-        """Try members in turn; a late one gets a rival.
+        """Try members in turn; hedge an attempt that takes too long.
 
-        Returns the first success, else the last failure. An attempt that
-        lost after it was sent is left to finish: cutting it off would cost
-        the member a slot all the same and this VM the connection. One that
-        still waits for a connection is never sent.
+        Returns the first final reply, else the last outcome. Once the caller
+        has its answer, an attempt that was sent is left to finish: to cancel
+        it would occupy the member's slot just as long and cost this VM the
+        connection. One that still waits for a connection is never sent.
         """
-        race = Race()
+        hedge = HedgeState()
         try:
-            return await self._run_race(race, read, clients, after)
+            return await self._run_hedged_attempts(hedge, read, clients, after)
         finally:
-            race.is_over = True
+            hedge.is_over = True
 
-    async def _run_race(
+    async def _run_hedged_attempts(
         self,
-        race: Race,
+        hedge: HedgeState,
         read: ReadRequest,
         clients: list[MemberClient],
         after: Position | None,
     ) -> Outcome:
-        waiting = list(clients)
+        untried = list(clients)
         running: set[Task] = set()
-        last: Outcome = NotSent("no member to ask")
-        while waiting or running:
+        last: Outcome = NotSent("no member to send to")
+        while untried or running:
             if not running:
-                running.add(self._start(race, read, waiting.pop(0), after))
-            patience = self._patience(read, clients, bool(waiting))
-            if patience <= 0.0:
+                running.add(self._start(hedge, read, untried.pop(0), after))
+            wait_s = self._hedge_wait_s(read, clients, bool(untried))
+            if wait_s <= 0.0:
                 last = NoAnswer("no answer in time")
                 break
             done, running = await wait(
-                running, timeout=patience, return_when=FIRST_COMPLETED
+                running, timeout=wait_s, return_when=FIRST_COMPLETED
             )
             for task in done:
                 last = task.result()
                 if isinstance(last, Reply) and is_final(last):
-                    self._leave(running)
+                    self._leave_running(running)
                     return last
-            if not done and waiting and self._budget.spend():
-                running.add(self._start(race, read, waiting.pop(0), after))
+            if not done and untried and self._budget.spend():
+                running.add(self._start(hedge, read, untried.pop(0), after))
             elif not done:
-                waiting.clear()
-        self._leave(running)
+                untried.clear()
+        self._leave_running(running)
         return last
 
     def _start(
         self,
-        race: Race,
+        hedge: HedgeState,
         read: ReadRequest,
         client: MemberClient,
         after: Position | None,
     ) -> Task:
-        return create_task(self._attempt(race, read, client, after))
+        return create_task(self._attempt(hedge, read, client, after))
 
     async def _attempt(
         self,
-        race: Race,
+        hedge: HedgeState,
         read: ReadRequest,
         client: MemberClient,
         after: Position | None,
     ) -> Outcome:
-        attempt = run_alone(
+        attempt = run_standalone(
             client,
             read.caller,
             read.statement,
             after,
             read.deadline,
             self._clock,
-            lambda: not race.is_over,
+            lambda: not hedge.is_over,
         )
         try:
-            outcome = await wait_for(attempt, max(self._left_s(read), 0.01))
+            outcome = await wait_for(
+                attempt, max(self._remaining_s(read), 0.01)
+            )
         except TimeoutError:
             client.failed_at = self._clock.now()
             return NoAnswer("no answer in time")
@@ -217,45 +229,45 @@
                 client.behind_until = self._clock.now() + LAGGING_PAUSE_S
         return outcome
 
-    def _patience(
+    def _hedge_wait_s(
         self, read: ReadRequest, clients: list[MemberClient], can_hedge: bool
     ) -> float:
-        left_s = self._left_s(read)
+        remaining_s = self._remaining_s(read)
         if not can_hedge:
-            return left_s
-        return min(left_s, clients[0].latency.late_after_s)
+            return remaining_s
+        return min(remaining_s, clients[0].latency.late_after_s)
 
-    def _leave(self, tasks: set[Task]) -> None:
+    def _leave_running(self, tasks: set[Task]) -> None:
         for task in tasks:
-            self._left_running.add(task)
-            task.add_done_callback(self._left_running.discard)
+            self._unfinished_attempts.add(task)
+            task.add_done_callback(self._unfinished_attempts.discard)
 
-    def _judge(
+    def _to_result(
         self, group: GroupClient, leader: MemberClient, outcome: Outcome
     ) -> Result | None:
         if isinstance(outcome, NoAnswer):
             return Refusal(Code.TIMED_OUT, outcome.reason)
         if isinstance(outcome, NotSent):
             return Refusal(Code.TARGET_LOST, outcome.reason, 100)
-        if is_good(outcome):
+        if is_proven_success(outcome):
             return Answer(outcome.rows, outcome.proof)
         if outcome.failure and outcome.failure.kind is FailureKind.NOT_PRIMARY:
             group.note_refused_as_replica(leader)
             return None
-        return self._judge_failure(outcome.failure)
+        return self._to_failure_result(outcome.failure)
 
-    def _judge_failure(self, failure: MemberFailure | None) -> Result:
+    def _to_failure_result(self, failure: MemberFailure | None) -> Result:
         if failure is None:
-            # Without the member's proof the rows may be anybody's.
+            # Without its proof, nothing shows that the member ran the read.
             return Refusal(Code.TIMED_OUT, "the member gave no proof")
         return failure
 
-    def _left_s(self, read: ReadRequest) -> float:
+    def _remaining_s(self, read: ReadRequest) -> float:
         return read.deadline - self._clock.now()
 
 
 def is_final(reply: Reply) -> bool:
-    """Say whether another member couldn't give a better answer."""
+    """Return whether no other member could give a better answer."""
     if reply.failure is None:
         return True
     kind = reply.failure.kind
@@ -263,7 +275,7 @@
 
 
 async def plan_with_sample(group: GroupClient, read: ReadRequest) -> ReadPlan:
-    """Return a read's plan; takes a sample where none is young enough."""
+    """Return a read's plan; take a sample first if none is recent enough."""
     state = read.caller.state
 
     def make() -> ReadPlan:
@@ -281,8 +293,11 @@
 async def await_leader(
     group: GroupClient, deadline: float, clock: Clock
 ) -> MemberClient | None:
-    """Return the primary, waiting a moment for it to be known."""
-    until = min(deadline, clock.now() + LEADER_WAIT_S)
+    """Return the primary, waiting up to ``LEADER_TIMEOUT_S`` for one.
+
+    Returns None if none is known then or it is unreachable.
+    """
+    until = min(deadline, clock.now() + LEADER_TIMEOUT_S)
     while group.leader() is None and clock.now() < until:
-        await group.wait_change(until - clock.now())
-    return None if group.is_out_of_reach() else group.leader()
+        await group.wait_for_change(until - clock.now())
+    return None if group.is_primary_unreachable() else group.leader()
--- a/redwingpost/node/request/session.py
+++ b/redwingpost/node/request/session.py
@@ -1,4 +1,4 @@
-"""One caller's session: each statement to whoever answers it."""
+"""One caller's session: dispatches each statement to its handler."""
 
 from asyncio import TimerHandle, create_task, get_running_loop
 from collections.abc import Awaitable, Callable
@@ -24,23 +24,25 @@
 from redwingpost.ports.database import MemberFailure
 from redwingpost.statements.session import Phase, SessionState
 
-#: Seconds for one statement that are worth a line in the log: the least
-#: target of today.
-LATE_S = 0.2
+#: Seconds above which a statement is logged as late: the smallest latency
+#: target in use.
+LATE_STATEMENT_S = 0.2
 
 Handler = Callable[["NodeSession", Statement], Awaitable[Result]]
 
-#: What answers a kind of statement, by the kind's value.
+#: Handlers of statements, by the value of the statement's kind.
 HANDLERS: Registry[Handler] = Registry("statement kind")
 
 _DONE = Answer()
-_TOO_MANY = Refusal(Code.UNSUPPORTED, "too many session values or names")
-_NOT_OPEN = Refusal(Code.UNSUPPORTED, "no transaction is open")
-_FAILED = Refusal(Code.UNSUPPORTED, "the transaction failed; roll it back")
+_TOO_MANY_NAMES = Refusal(Code.UNSUPPORTED, "too many session values or names")
+_NO_TRANSACTION = Refusal(Code.UNSUPPORTED, "no transaction is open")
+_TRANSACTION_FAILED = Refusal(
+    Code.UNSUPPORTED, "the transaction failed; roll it back"
+)
 
 
 class Services(NamedTuple):
-    """What all sessions of a node share."""
+    """Services shared by all sessions of one VM."""
 
     admission: Admission
     group_by_name: dict[str, GroupClient]
@@ -51,7 +53,7 @@
     forwarder: Forwarder | None = None
 
     def has_home_elsewhere(self, admitted: Admitted) -> bool:
-        """Say whether another VM should run an operation."""
+        """Return whether another VM should run an operation."""
         return self.forwarder is not None and (
             self.forwarder.has_home_elsewhere(
                 admitted.route.group, admitted.organisation.name
@@ -60,7 +62,7 @@
 
 
 class NodeSession:
-    """Implements the session of the caller server."""
+    """Runs one caller's statements for the caller server."""
 
     def __init__(self, services: Services, database: str, key: str) -> None:
         self.state = SessionState()
@@ -73,35 +75,35 @@
 
     @property
     def phase(self) -> Phase:
-        """Where the session stands."""
+        """The session's transaction phase."""
         return self.state.phase
 
     async def run(self, statement: Statement) -> Result:
-        """Run one statement and return what to answer."""
+        """Run one statement and return its result."""
         self._stop_idle_timer()
         self.state.trace = StatementTrace()
         started_at = self.services.clock.now()
         handler = HANDLERS.get(statement.kind.value)
         result = await handler(self, statement)
         seconds = self.services.clock.now() - started_at
-        self._note(statement, result, seconds)
+        self._record_result(statement, result, seconds)
         if self.transaction is not None:
             self._start_idle_timer()
         return result
 
     async def close(self) -> None:
-        """Roll back what is open."""
+        """Roll back an open transaction."""
         self._stop_idle_timer()
         if self.transaction is not None:
             await self.transaction.roll_back()
             self.transaction = None
 
     def check(self) -> Admitted | Refusal:
-        """Check key and route by the rules in force."""
+        """Check key and route against the rules in force."""
         return self.services.admission.check(self._database, self._key)
 
     def admit(self, request: str) -> Admitted | Refusal:
-        """Check one operation and take it from the rate."""
+        """Check one operation and take a token for it."""
         admitted = self.check()
         if isinstance(admitted, Refusal):
             return admitted
@@ -118,32 +120,36 @@
         return self.services.group_by_name.get(admitted.route.group)
 
     def caller(self, admitted: Admitted) -> Caller:
-        """Return whose statement it is and how urgent."""
+        """Return the caller's organisation, session state and priority."""
         name = admitted.organisation.name
         return Caller(name, self.state, admitted.route.priority)
 
     def end_transaction(self, phase: Phase) -> None:
-        """Leave the transaction, into ``phase``."""
+        """Leave the transaction and set the session's phase."""
         self.transaction = None
         self.state.phase = phase
 
-    def _note(
+    def _record_result(
         self, statement: Statement, result: Result, seconds: float
     ) -> None:
         if isinstance(result, Answer):
             self.services.metrics.note(statement.kind.value, "ok", seconds)
-            if seconds > LATE_S:
-                self._log("statement-late", statement, "ok", "", seconds)
+            if seconds > LATE_STATEMENT_S:
+                self._log_statement(
+                    "statement-late", statement, "ok", "", seconds
+                )
             return
-        is_own = isinstance(result, Refusal)
-        word = result.code.name if is_own else result.word
-        self.services.metrics.note(statement.kind.value, word, seconds)
-        if word != Code.OVER_RATE.name:
-            # Admission has written that decision with its inputs.
+        is_refusal = isinstance(result, Refusal)
+        code = result.code.name if is_refusal else result.word
+        self.services.metrics.note(statement.kind.value, code, seconds)
+        if code != Code.OVER_RATE.name:
+            # Admission has logged that decision with its inputs.
             detail = result.detail
-            self._log("statement-refused", statement, word, detail, seconds)
+            self._log_statement(
+                "statement-refused", statement, code, detail, seconds
+            )
 
-    def _log(
+    def _log_statement(
         self,
         event: str,
         statement: Statement,
@@ -171,15 +177,15 @@
     def _start_idle_timer(self) -> None:
         idle_s = self.services.admission.rules.idle_transaction_s
         loop = get_running_loop()
-        self._idle_timer = loop.call_later(idle_s, self._end_idle)
+        self._idle_timer = loop.call_later(idle_s, self._roll_back_idle)
 
     def _stop_idle_timer(self) -> None:
         if self._idle_timer is not None:
             self._idle_timer.cancel()
             self._idle_timer = None
 
-    def _end_idle(self) -> None:
-        """Roll an idle transaction back: it holds a connection."""
+    def _roll_back_idle(self) -> None:
+        """Roll back an idle transaction, which holds a connection."""
         if self.transaction is None:
             return
         log_event("transaction-idle", database=self._database)
@@ -189,14 +195,14 @@
 
 @HANDLERS.register(StatementKind.SET_VALUE.value)
 async def _set_value(session: NodeSession, statement: Statement) -> Result:
-    kept = session.state.set_value(statement.name, statement.argument)
-    return _DONE if kept else _TOO_MANY
+    is_stored = session.state.set_value(statement.name, statement.argument)
+    return _DONE if is_stored else _TOO_MANY_NAMES
 
 
 @HANDLERS.register(StatementKind.PREPARE.value)
 async def _prepare(session: NodeSession, statement: Statement) -> Result:
-    kept = session.state.prepare(statement.name, statement.shape)
-    return _DONE if kept else _TOO_MANY
+    is_stored = session.state.prepare(statement.name, statement.shape)
+    return _DONE if is_stored else _TOO_MANY_NAMES
 
 
 @HANDLERS.register(StatementKind.CLOSE.value)
@@ -209,7 +215,7 @@
 @HANDLERS.register(StatementKind.BEGIN_READ_ONLY.value)
 async def _begin(session: NodeSession, statement: Statement) -> Result:
     if session.phase is not Phase.IDLE:
-        return _FAILED
+        return _TRANSACTION_FAILED
     admitted = session.admit(statement.request)
     if isinstance(admitted, Refusal):
         return admitted
@@ -232,7 +238,7 @@
     services = session.services
     caller = session.caller(admitted)
 
-    def run_here() -> Transaction:
+    def run_locally() -> Transaction:
         group.note_use()
         return Transaction(
             begin,
@@ -244,14 +250,14 @@
         )
 
     if not services.has_home_elsewhere(admitted):
-        return run_here()
+        return run_locally()
     return ForwardedTransaction(
         begin,
         caller,
         admitted.route,
         admitted.sync_replicas,
         services.forwarder,
-        run_here,
+        run_locally,
         services.clock,
     )
 
@@ -259,11 +265,13 @@
 @HANDLERS.register(StatementKind.COMMIT.value)
 async def _commit(session: NodeSession, statement: Statement) -> Result:
     if session.phase is Phase.IDLE:
-        return _NOT_OPEN
+        return _NO_TRANSACTION
     if session.phase is Phase.FAILED:
         session.end_transaction(Phase.IDLE)
-        return Refusal(Code.TRANSACTION_ROLLED_BACK, "it had failed", 50)
-    refused = await _refuse_withdrawn(session, Phase.IDLE)
+        return Refusal(
+            Code.TRANSACTION_ROLLED_BACK, "the transaction had failed", 50
+        )
+    refused = await _refuse_withdrawn_key(session, Phase.IDLE)
     if refused is not None:
         return refused
     result = await session.transaction.commit(statement)
@@ -284,20 +292,20 @@
 @HANDLERS.register(StatementKind.READ.value)
 @HANDLERS.register(StatementKind.WRITE.value)
 @HANDLERS.register(StatementKind.EXECUTE.value)
-async def _work(session: NodeSession, statement: Statement) -> Result:
+async def _run_statement(session: NodeSession, statement: Statement) -> Result:
     if session.phase is Phase.FAILED:
-        return _FAILED
+        return _TRANSACTION_FAILED
     if session.state.writes(statement) is None:
         return MemberFailure.unknown_name(statement.name)
     if session.phase is Phase.IN_TRANSACTION:
-        return await _work_in_transaction(session, statement)
-    return await _work_alone(session, statement)
+        return await _run_in_transaction(session, statement)
+    return await _run_standalone(session, statement)
 
 
-async def _work_in_transaction(
+async def _run_in_transaction(
     session: NodeSession, statement: Statement
 ) -> Result:
-    refused = await _refuse_withdrawn(session, Phase.FAILED)
+    refused = await _refuse_withdrawn_key(session, Phase.FAILED)
     if refused is not None:
         return refused
     result = await session.transaction.run(statement)
@@ -308,7 +316,9 @@
     return result
 
 
-async def _work_alone(session: NodeSession, statement: Statement) -> Result:
+async def _run_standalone(
+    session: NodeSession, statement: Statement
+) -> Result:
     admitted = session.admit(statement.request)
     if isinstance(admitted, Refusal):
         return admitted
@@ -329,16 +339,16 @@
         )
         result = await services.forwarder.run_alone(task)
     if result is None:
-        result = await _run_here(session, group, request, admitted)
-    if _costs_nothing(result, session.state.trace):
-        services.admission.give_back(admitted.organisation)
+        result = await _run_locally(session, group, request, admitted)
+    if _is_refundable(result, session.state.trace):
+        services.admission.refund_operation(admitted.organisation)
         services.metrics.note_given_back(
             admitted.organisation.name, admitted.route.group
         )
     return result
 
 
-async def _run_here(
+async def _run_locally(
     session: NodeSession,
     group: GroupClient,
     request: ReadRequest,
@@ -353,26 +363,26 @@
     return await services.reads.run(group, request)
 
 
-def _costs_nothing(result: Result, trace: StatementTrace) -> bool:
-    """Say whether a refused operation has cost no member anything.
+def _is_refundable(result: Result, trace: StatementTrace) -> bool:
+    """Return whether a refused operation used no member's capacity.
 
-    "Not run" tells the caller that nothing is kept. A member may have run
-    a read all the same, whose answer nothing proved.
+    The outcome "not run" only means that nothing was kept. A member may
+    still have run a read whose answer wasn't proven.
     """
     if not isinstance(result, Refusal) or trace.may_have_run:
         return False
     return result.code.outcome is Outcome.NOT_RUN
 
 
-async def _refuse_withdrawn(
+async def _refuse_withdrawn_key(
     session: NodeSession, phase: Phase
 ) -> Refusal | None:
-    """End a transaction whose caller's key was withdrawn meanwhile."""
+    """End the transaction if its caller's key has been withdrawn."""
     checked = session.check()
     if not isinstance(checked, Refusal):
         return None
     if checked.code.name != Code.WRONG_KEY.name:
-        # A route that changed counts from the next transaction on.
+        # A changed route applies from the next transaction on.
         return None
     await session.transaction.roll_back()
     session.end_transaction(phase)
--- a/redwingpost/node/request/start_gate.py
+++ b/redwingpost/node/request/start_gate.py
@@ -1,4 +1,4 @@
-"""Let callers of a VM that has just started wait for its rules."""
+"""Makes callers of a VM that has just started wait for its first rules."""
 
 from asyncio import Event, wait_for
 
@@ -10,15 +10,15 @@
         self._opened = Event()
 
     def open(self) -> None:
-        """Let everybody through, now and from now on."""
+        """Release all waiting callers and let later ones pass at once."""
         self._opened.set()
 
-    async def wait(self, patience_s: float) -> None:
-        """Return once the gate is open, or after ``patience_s`` seconds."""
+    async def wait(self, timeout_s: float) -> None:
+        """Return once the gate is open, or after ``timeout_s`` seconds."""
         if self._opened.is_set():
             return
         try:
-            await wait_for(self._opened.wait(), patience_s)
+            await wait_for(self._opened.wait(), timeout_s)
         except TimeoutError:
-            # The session's own check refuses, with the reason.
+            # The session's own check refuses the caller with the reason.
             return
--- a/redwingpost/node/request/transaction.py
+++ b/redwingpost/node/request/transaction.py
@@ -1,8 +1,8 @@
 """One caller's transaction, pinned to one connection of one member.
 
-BEGIN is answered at once and sent to a member with the first statement:
-until then any member can be chosen, and a caller that only begins holds
-no connection.
+BEGIN is answered at once and sent to a member only before the first
+statement: until then any member can be chosen, and a caller that sends
+nothing after BEGIN holds no connection.
 """
 
 from asyncio import Task, create_task, wait_for
@@ -16,14 +16,14 @@
 from redwingpost.groups.choice import LAGGING_PAUSE_S
 from redwingpost.groups.reads import oldest_sample_time
 from redwingpost.node.group import GroupClient
-from redwingpost.node.member import MemberClient, is_good
+from redwingpost.node.member import MemberClient, is_proven_success
 from redwingpost.node.request.attempt import (
     Caller,
     NoAnswer,
     NotSent,
-    claim,
+    claim_connection,
     make_ready,
-    run_on,
+    run_on_connection,
 )
 from redwingpost.node.request.commits import (
     AcknowledgedCommit,
@@ -46,20 +46,20 @@
     Reply,
 )
 
-#: Seconds for a rollback before its connection is closed instead, which
-#: rolls back as well.
-ROLL_BACK_S = 0.5
+#: Seconds for a rollback before the connection is closed instead, which
+#: also rolls back.
+ROLL_BACK_TIMEOUT_S = 0.5
 
-#: Seconds for BEGIN, which takes no slot of the member: one that doesn't
-#: answer within them has stopped answering.
-BEGIN_S = 0.4
+#: Seconds for BEGIN, which takes no slot of the member: a member that
+#: doesn't answer it in this time has stopped answering.
+BEGIN_TIMEOUT_S = 0.4
 
 
-class Pinned(NamedTuple):
-    """Where a transaction runs."""
+class PinnedConnection(NamedTuple):
+    """The member and the connection that a transaction runs on."""
 
     client: MemberClient
-    item: PooledLink
+    pooled: PooledLink
 
 
 class Transaction:
@@ -81,38 +81,38 @@
         self._sync_replicas = sync_replicas
         self._clock = clock
         self._arrived_at = clock.now()
-        self._pinned: Pinned | None = None
+        self._pinned: PinnedConnection | None = None
         self._proof: Task | None = None
         self._has_written = False
         self._is_over = False
 
     @property
     def is_over(self) -> bool:
-        """Whether nothing of it is left at a member."""
+        """Whether the transaction is no longer open at a member."""
         return self._is_over
 
     async def run(self, statement: Statement) -> Result:
         """Run a read or a write inside the transaction."""
         deadline = self._clock.now() + self._route.timeout_s
-        refused = await self._reach_member(statement, deadline)
+        refused = await self._prepare_connection(statement, deadline)
         if refused is not None:
             return refused
         outcome = await self._send(statement, deadline)
         if not isinstance(outcome, Reply):
-            return self._lost(outcome.reason)
-        if not is_good(outcome):
-            return await self._failed(outcome)
+            return self._end_lost(outcome.reason)
+        if not is_proven_success(outcome):
+            return await self._end_failed(outcome)
         if not await self._is_proven(deadline):
             await self.roll_back()
-            return self._rolled_back("lead not proven")
+            return self._rolled_back_refusal("lead not proven")
         if self._caller.state.writes(statement):
             self._has_written = True
         return Answer(outcome.rows, outcome.proof)
 
     async def commit(self, statement: Statement) -> Result:
-        """Commit; the transaction is over whatever comes of it."""
+        """Commit; the transaction has ended whatever the result."""
         deadline = self._clock.now() + self._route.timeout_s
-        refused = await self._reach_member(statement, deadline)
+        refused = await self._prepare_connection(statement, deadline)
         if refused is not None:
             return refused
         client = self._pinned.client
@@ -124,9 +124,9 @@
         watch.end(number, is_answered)
         if not isinstance(outcome, Reply):
             return self._commit_unanswered(statement, outcome)
-        if not is_good(outcome):
-            return await self._failed(outcome)
-        self._give_back(outcome)
+        if not is_proven_success(outcome):
+            return await self._end_failed(outcome)
+        self._release_connection(outcome)
         if not self._has_written:
             return Answer(outcome.rows, outcome.proof)
         acknowledged = AcknowledgedCommit(
@@ -145,33 +145,35 @@
         return Answer(outcome.rows, outcome.proof)
 
     async def roll_back(self) -> None:
-        """Undo what was done and give the connection back."""
+        """Roll back and release the connection."""
         if self._pinned is None:
             self._is_over = True
             return
-        client, item = self._pinned
+        client, pooled = self._pinned
         try:
-            reply = await wait_for(item.link.roll_back(), ROLL_BACK_S)
+            reply = await wait_for(
+                pooled.link.roll_back(), ROLL_BACK_TIMEOUT_S
+            )
         except Exception as error:
             log_event("rollback-by-close", reason=type(error).__name__)
-            self._cut()
+            self._discard_connection()
             return
         if reply.failure is not None:
-            self._cut()
+            self._discard_connection()
             return
-        self._give_back(reply)
+        self._release_connection(reply)
 
-    async def _reach_member(
+    async def _prepare_connection(
         self, statement: Statement, deadline: float
     ) -> Result | None:
-        """Begin if need be, and set up; None once a statement can run."""
+        """Begin if needed and set session values; return None on success."""
         if self._pinned is None:
             refused = await self._start(statement, deadline)
             if refused is not None:
                 return refused
-        client, item = self._pinned
-        if not await make_ready(client, item, self._caller.state):
-            return self._lost("set-up failed")
+        client, pooled = self._pinned
+        if not await make_ready(client, pooled, self._caller.state):
+            return self._end_lost("set-up failed")
         return None
 
     # Start -------------------------------------------------------------
@@ -179,16 +181,16 @@
     async def _start(
         self, statement: Statement, deadline: float
     ) -> Result | None:
-        """Begin at a member; None once begun, else why it can't."""
+        """Begin at a member; return None, or the failure or refusal."""
         result: Result = Refusal(Code.NO_PRIMARY, "", 500)
         for _ in range(MAX_TRIES):
             if self._may_use_replicas():
-                result = await self._begin_anywhere(deadline)
+                result = await self._begin_at_any_member(deadline)
             else:
                 result = await self._begin_at_primary(deadline)
             if result is None:
                 return None
-            if not _is_passing(result) or self._clock.now() >= deadline:
+            if not _is_transient(result) or self._clock.now() >= deadline:
                 break
         self._is_over = True
         return result
@@ -199,7 +201,7 @@
             and self._route.consistency is not Consistency.PRIMARY
         )
 
-    async def _begin_anywhere(self, deadline: float) -> Result | None:
+    async def _begin_at_any_member(self, deadline: float) -> Result | None:
         read = ReadRequest(
             self._begin, self._caller, self._route, self._arrived_at
         )
@@ -209,7 +211,7 @@
         result: Result | None = Refusal(Code.TARGET_LOST, "", 100)
         for client in self._group.ranked(self._caller.organisation):
             result = await self._begin_at(client, plan.after, deadline)
-            if result is None or not _is_passing(result):
+            if result is None or not _is_transient(result):
                 return result
         return result
 
@@ -217,7 +219,7 @@
         leader = await await_leader(self._group, deadline, self._clock)
         if leader is None:
             return Refusal(Code.NO_PRIMARY, "", 500)
-        refused = self._refuse_hopeless(deadline - self._clock.now())
+        refused = self._refuse_if_unconfirmable(deadline - self._clock.now())
         if refused is not None:
             return refused
         if self._needs_proof():
@@ -228,12 +230,12 @@
             await self._group.fresh_round()
         return result
 
-    def _refuse_hopeless(self, left_s: float) -> Refusal | None:
+    def _refuse_if_unconfirmable(self, remaining_s: float) -> Refusal | None:
         if self._needs_proof():
-            return self._group.refuse_unprovable(left_s)
+            return self._group.refuse_unprovable(remaining_s)
         if self._begin.kind is StatementKind.BEGIN:
             return self._group.refuse_unconfirmable(
-                left_s, self._sync_replicas
+                remaining_s, self._sync_replicas
             )
         return None
 
@@ -246,31 +248,34 @@
     async def _begin_at(
         self, client: MemberClient, after: Position | None, deadline: float
     ) -> Result | None:
-        item = await claim(client, self._caller, None, deadline, self._clock)
-        if isinstance(item, NotSent):
-            return Refusal(Code.TARGET_LOST, item.reason, 100)
-        left_s = max(deadline - self._clock.now(), 0.01)
-        patience = min(left_s, BEGIN_S)
+        pooled = await claim_connection(
+            client, self._caller, None, deadline, self._clock
+        )
+        if isinstance(pooled, NotSent):
+            return Refusal(Code.TARGET_LOST, pooled.reason, 100)
+        remaining_s = max(deadline - self._clock.now(), 0.01)
+        timeout_s = min(remaining_s, BEGIN_TIMEOUT_S)
         try:
             outcome = await wait_for(
-                run_on(client, item, self._begin, after, None), patience
+                run_on_connection(client, pooled, self._begin, after, None),
+                timeout_s,
             )
         except TimeoutError:
             client.failed_at = self._clock.now()
             return Refusal(Code.TARGET_LOST, "no answer to BEGIN", 100)
         if isinstance(outcome, NoAnswer):
-            client.discard(item)
+            client.discard(pooled)
             return Refusal(Code.TARGET_LOST, outcome.reason, 100)
         if outcome.failure is None:
-            self._pinned = Pinned(client, item)
-            client.under_way += 1
+            self._pinned = PinnedConnection(client, pooled)
+            client.statements_in_flight += 1
             return None
         if outcome.failure.kind is FailureKind.BEHIND:
             client.behind_until = self._clock.now() + LAGGING_PAUSE_S
         if outcome.in_transaction:
-            client.discard(item)
+            client.discard(pooled)
         else:
-            client.release(item)
+            client.release(pooled)
         return outcome.failure
 
     # Statements --------------------------------------------------------
@@ -278,16 +283,17 @@
     async def _send(
         self, statement: Statement, deadline: float
     ) -> Reply | NoAnswer:
-        client, item = self._pinned
+        client, pooled = self._pinned
         shape = self._caller.state.shape_of(statement.name)
-        left_s = max(deadline - self._clock.now(), 0.01)
+        remaining_s = max(deadline - self._clock.now(), 0.01)
         started_at = self._clock.now()
         try:
             outcome = await wait_for(
-                run_on(client, item, statement, None, shape), left_s
+                run_on_connection(client, pooled, statement, None, shape),
+                remaining_s,
             )
         except TimeoutError:
-            # The wait discarded the connection; count it as cut.
+            # The cancelled call has discarded the connection.
             client.failed_at = self._clock.now()
             self._unpin()
             self._is_over = True
@@ -301,12 +307,12 @@
         return outcome
 
     async def _is_proven(self, deadline: float) -> bool:
-        """Say whether the primary led when the transaction began."""
+        """Return whether the primary led when the transaction began."""
         if self._proof is None:
             return True
-        left_s = max(deadline - self._clock.now(), 0.001)
+        remaining_s = max(deadline - self._clock.now(), 0.001)
         try:
-            is_proven = await wait_for(self._proof, left_s)
+            is_proven = await wait_for(self._proof, remaining_s)
         except TimeoutError:
             is_proven = False
         client = self._pinned.client
@@ -314,16 +320,16 @@
         self._proof = None
         return is_proven and is_leader
 
-    async def _failed(self, reply: Reply) -> Result:
-        """Give a failed transaction up at the member at once.
+    async def _end_failed(self, reply: Reply) -> Result:
+        """Roll a failed transaction back at the member at once.
 
         The caller can only roll back; until it does, the connection and
-        what the transaction has locked would be kept for nothing.
+        the transaction's locks would be held without use.
         """
         client = self._pinned.client
         await self.roll_back()
         if reply.failure is None:
-            return self._rolled_back("the member gave no proof")
+            return self._rolled_back_refusal("the member gave no proof")
         if reply.failure.kind is FailureKind.NOT_PRIMARY:
             self._group.note_refused_as_replica(client)
         return reply.failure
@@ -333,10 +339,10 @@
     ) -> Refusal:
         has_written = self._has_written
         if self._pinned is not None:
-            self._cut()
+            self._discard_connection()
         if not has_written:
-            # Nothing was written, so nothing can have been kept.
-            return self._rolled_back(outcome.reason)
+            # Nothing was written, so nothing can have been committed.
+            return self._rolled_back_refusal(outcome.reason)
         log_event(
             "commit-unknown",
             request=statement.request,
@@ -347,33 +353,33 @@
         )
         return Refusal(Code.COMMIT_UNKNOWN, outcome.reason)
 
-    def _lost(self, reason: str) -> Refusal:
+    def _end_lost(self, reason: str) -> Refusal:
         if self._pinned is not None:
-            self._cut()
-        return self._rolled_back(reason)
+            self._discard_connection()
+        return self._rolled_back_refusal(reason)
 
-    def _rolled_back(self, reason: str) -> Refusal:
+    def _rolled_back_refusal(self, reason: str) -> Refusal:
         return Refusal(Code.TRANSACTION_ROLLED_BACK, reason, 50)
 
     # Connection --------------------------------------------------------
 
-    def _give_back(self, reply: Reply) -> None:
-        client, item = self._pinned
+    def _release_connection(self, reply: Reply) -> None:
+        client, pooled = self._pinned
         self._unpin()
         self._is_over = True
         if reply.in_transaction:
-            client.discard(item)
+            client.discard(pooled)
         else:
-            client.release(item)
+            client.release(pooled)
 
-    def _cut(self) -> None:
-        client, item = self._pinned
+    def _discard_connection(self) -> None:
+        client, pooled = self._pinned
         self._unpin()
         self._is_over = True
-        client.discard(item)
+        client.discard(pooled)
 
     def _unpin(self) -> None:
-        self._pinned.client.under_way -= 1
+        self._pinned.client.statements_in_flight -= 1
         self._pinned = None
 
 
@@ -381,8 +387,8 @@
     return isinstance(result, MemberFailure) and result.kind is kind
 
 
-def _is_passing(result: Result) -> bool:
-    """Say whether another member, or another moment, may do better."""
+def _is_transient(result: Result) -> bool:
+    """Return whether another member or a later attempt may succeed."""
     if isinstance(result, MemberFailure):
         return result.kind in DID_NOT_RUN
     return (
--- a/redwingpost/node/request/writes.py
+++ b/redwingpost/node/request/writes.py
@@ -1,4 +1,4 @@
-"""Serve writes that stand alone: once, at the primary."""
+"""Runs writes outside transactions, at most once, at the primary."""
 
 from asyncio import wait_for
 
@@ -6,12 +6,12 @@
 from redwingpost.core.requests import Refusal
 from redwingpost.core.statements import Answer
 from redwingpost.node.group import GroupClient
-from redwingpost.node.member import MemberClient, is_good
+from redwingpost.node.member import MemberClient, is_proven_success
 from redwingpost.node.request.attempt import (
     NoAnswer,
     NotSent,
     Outcome,
-    run_alone,
+    run_standalone,
 )
 from redwingpost.node.request.commits import (
     AcknowledgedCommit,
@@ -34,7 +34,7 @@
 
 
 class WriteRunner:
-    """Runs writes of one node.
+    """Runs the writes of one VM.
 
     A write whose answer is lost is never sent again: it may have run.
     """
@@ -45,34 +45,34 @@
     async def run(
         self, group: GroupClient, write: ReadRequest, sync_replicas: int
     ) -> Result:
-        """Return the answer to a write, or what became of it."""
+        """Return the answer to a write, or the failure or refusal."""
         result: Result | None = None
         for _ in range(MAX_TRIES):
             leader = await await_leader(group, write.deadline, self._clock)
             if leader is None:
                 return result or Refusal(Code.NO_PRIMARY, "", 500)
-            left_s = write.deadline - self._clock.now()
-            refused = group.refuse_unconfirmable(left_s, sync_replicas)
+            remaining_s = write.deadline - self._clock.now()
+            refused = group.refuse_unconfirmable(remaining_s, sync_replicas)
             if refused is not None:
                 return refused
             outcome = await self._attempt(group, leader, write)
-            done = await self._judge(
+            attempt_result = await self._to_result(
                 group, leader, write, outcome, sync_replicas
             )
-            if not isinstance(done, MemberFailure | Refusal):
-                return done
-            result = done
-            if not self._may_try_again(done):
-                return done
+            if not isinstance(attempt_result, MemberFailure | Refusal):
+                return attempt_result
+            result = attempt_result
+            if not self._may_try_again(attempt_result):
+                return attempt_result
             if write.deadline - self._clock.now() <= 0.0:
-                return done
+                return attempt_result
             await group.fresh_round()
         return result
 
     async def _attempt(
         self, group: GroupClient, leader: MemberClient, write: ReadRequest
     ) -> Outcome | None:
-        attempt = run_alone(
+        attempt = run_standalone(
             leader,
             write.caller,
             write.statement,
@@ -80,19 +80,19 @@
             write.deadline,
             self._clock,
         )
-        left_s = write.deadline - self._clock.now()
+        remaining_s = write.deadline - self._clock.now()
         watch = group.writes
-        number = watch.start(self._clock.now())
+        write_number = watch.start(self._clock.now())
         outcome: Outcome = NoAnswer("no answer in time")
         try:
-            outcome = await wait_for(attempt, max(left_s, 0.01))
+            outcome = await wait_for(attempt, max(remaining_s, 0.01))
         except TimeoutError:
             leader.failed_at = self._clock.now()
         finally:
-            watch.end(number, not isinstance(outcome, NoAnswer))
+            watch.end(write_number, not isinstance(outcome, NoAnswer))
         return outcome
 
-    async def _judge(
+    async def _to_result(
         self,
         group: GroupClient,
         leader: MemberClient,
@@ -103,9 +103,9 @@
         if isinstance(outcome, NotSent):
             return Refusal(Code.TARGET_LOST, outcome.reason, 100)
         if isinstance(outcome, NoAnswer):
-            return self._unknown(group, write, outcome.reason)
-        if not is_good(outcome):
-            return self._refused(group, leader, outcome)
+            return self._outcome_unknown(group, write, outcome.reason)
+        if not is_proven_success(outcome):
+            return self._to_failure_result(group, leader, outcome)
         commit = AcknowledgedCommit(
             write.statement.request,
             outcome.position,
@@ -116,11 +116,11 @@
             group, leader, commit, sync_replicas, self._clock
         )
         if not is_kept:
-            return self._unknown(group, write, "lead not proven")
+            return self._outcome_unknown(group, write, "lead not proven")
         write.caller.state.note_commit(outcome.position)
         return Answer(outcome.rows, outcome.proof)
 
-    def _refused(
+    def _to_failure_result(
         self, group: GroupClient, leader: MemberClient, reply: Reply
     ) -> Result:
         if reply.failure is None:
@@ -129,7 +129,7 @@
             group.note_refused_as_replica(leader)
         return reply.failure
 
-    def _unknown(
+    def _outcome_unknown(
         self, group: GroupClient, write: ReadRequest, reason: str
     ) -> Refusal:
         log_event(
--- a/redwingpost/node/tests/test_admission.py
+++ b/redwingpost/node/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""What admission does besides deciding."""
+"""Admission reports admitted operations to the other VMs."""
 
 from unittest import TestCase
 
@@ -26,25 +26,25 @@
     def test_the_other_vms_are_told_while_much_is_admitted(self) -> None:
         """Many operations of one organisation arrive at once.
 
-        The other VMs hold the same bucket; if they hear of it with the
-        next heartbeat only, they give it away as well.
+        All VMs share its token bucket. If the others learn of the admitted
+        operations only from the next heartbeat, they admit as many again.
         """
-        told = []
+        reported = []
 
         def report_if_due(organisation: str) -> None:
             if self.ledger.is_report_due(organisation):
-                told.extend(self.ledger.take_report(False, 0.0))
+                reported.extend(self.ledger.take_report(False, 0.0))
 
         self.admission.on_admitted = report_if_due
         for _ in range(3 * REPORT_AFTER_ADMISSIONS):
             self.assertIsNone(self.admission.spend(_RULE, "r1"))
-        self.assertEqual(3, len(told))
-        self.assertEqual(3 * REPORT_AFTER_ADMISSIONS, told[-1].admitted)
+        self.assertEqual(3, len(reported))
+        self.assertEqual(3 * REPORT_AFTER_ADMISSIONS, reported[-1].admitted)
 
-    def test_what_is_refused_is_not_told(self) -> None:
-        told = []
-        self.admission.on_admitted = told.append
+    def test_refused_operations_are_not_reported(self) -> None:
+        reported = []
+        self.admission.on_admitted = reported.append
         admitted = int(_RULE.burst * INITIAL_BURST_FRACTION)
         for _ in range(admitted + 5):
             self.admission.spend(_RULE, "r1")
-        self.assertEqual(admitted, len(told))
+        self.assertEqual(admitted, len(reported))
--- a/redwingpost/node/tests/test_attempt.py
+++ b/redwingpost/node/tests/test_attempt.py
@@ -1,11 +1,11 @@
-"""One statement on one member."""
+"""Attempts to run a statement on one member."""
 
 from asyncio import Event, create_task, sleep
 from types import SimpleNamespace
 from unittest import IsolatedAsyncioTestCase
 
 from redwingpost.core.statements import Statement, StatementKind
-from redwingpost.node.request.attempt import Caller, NotSent, run_alone
+from redwingpost.node.request.attempt import Caller, NotSent, run_standalone
 from redwingpost.observability.trace import StatementTrace
 from redwingpost.ports.clock import VirtualClock
 from redwingpost.ports.database import Reply
@@ -16,13 +16,13 @@
 
 
 class HeldMember:
-    """A member that answers once it is told to."""
+    """A member that answers a statement once ``answers`` is set."""
 
     def __init__(self) -> None:
         self.answers = Event()
         self.entry = SimpleNamespace(member="m1")
         self.latency = SimpleNamespace(observe=lambda seconds, now: None)
-        self.under_way = 0
+        self.statements_in_flight = 0
         self.link = self
 
     async def acquire(self, *wanted) -> SimpleNamespace:
@@ -30,15 +30,15 @@
         return SimpleNamespace(link=self, contents=LinkContents())
 
     async def make_ready(self, item, state) -> None:
-        """Need nothing."""
+        """Accept the connection as it is."""
 
     async def run(self, *arguments) -> Reply:
-        """Answer when told to."""
+        """Answer once ``answers`` is set."""
         await self.answers.wait()
         return Reply(proof="1.p")
 
     def note_sent(self) -> None:
-        """Ignore it."""
+        """Do nothing."""
 
     note_ended = note_answer = note_sent
 
@@ -47,17 +47,20 @@
 
 
 class WaitingMember(HeldMember):
-    """A member that has no place at first; counts what it runs."""
+    """A member without a free connection at first.
+
+    It counts the statements that it runs.
+    """
 
     def __init__(self) -> None:
         super().__init__()
-        self.has_place = Event()
+        self.has_free_connection = Event()
         self.runs = 0
         self.released = 0
 
     async def acquire(self, *wanted) -> SimpleNamespace:
-        """Hand out the connection once there is a place."""
-        await self.has_place.wait()
+        """Hand out the connection once it is free."""
+        await self.has_free_connection.wait()
         return await super().acquire(*wanted)
 
     async def run(self, *arguments) -> Reply:
@@ -72,16 +75,19 @@
 
 class AttemptTest(IsolatedAsyncioTestCase):
     async def test_a_late_loser_leaves_the_next_statement_alone(self) -> None:
-        """A read is answered by one member while another still runs it.
+        """A hedged read is answered while another member still runs it.
 
-        The session goes on. When the second answer comes, its time must
-        not stand in the log line of a statement that it isn't about.
+        The session runs its next statement before the second answer
+        arrives. The second attempt's time must not be logged with that
+        statement.
         """
         clock = VirtualClock()
         member = HeldMember()
         caller = Caller("parish", SessionState(), 1)
         first = caller.state.trace
-        loser = create_task(run_alone(member, caller, _READ, None, 9.0, clock))
+        loser = create_task(
+            run_standalone(member, caller, _READ, None, 9.0, clock)
+        )
         await sleep(0)
         caller.state.trace = StatementTrace()
         clock.advance(2.0)
@@ -91,29 +97,29 @@
         self.assertEqual(0, caller.state.trace.describe()["tries"])
 
     async def test_a_loser_that_was_not_sent_is_never_sent(self) -> None:
-        """A late read got a rival that waits for a connection.
+        """A hedged attempt at a read waits for a connection.
 
-        The first answer comes, the caller sets another session value, and
-        then the rival gets its connection. Sent now, the statement would
-        run with values that its caller had not set when it asked.
+        The first attempt is answered, the caller sets another session
+        value, and then the second attempt gets its connection. Sent now,
+        the read would run with a value that was set after it.
         """
         clock = VirtualClock()
         member = WaitingMember()
         caller = Caller("parish", SessionState(), 1)
-        race = SimpleNamespace(is_over=False)
+        hedge = SimpleNamespace(is_over=False)
         loser = create_task(
-            run_alone(
+            run_standalone(
                 member,
                 caller,
                 _READ,
                 None,
                 9.0,
                 clock,
-                lambda: not race.is_over,
+                lambda: not hedge.is_over,
             )
         )
         await sleep(0)
-        race.is_over = True
-        member.has_place.set()
+        hedge.is_over = True
+        member.has_free_connection.set()
         self.assertIsInstance(await loser, NotSent)
         self.assertEqual((0, 1), (member.runs, member.released))
--- a/redwingpost/node/tests/test_start_gate.py
+++ b/redwingpost/node/tests/test_start_gate.py
@@ -1,21 +1,21 @@
-"""Callers that come while a VM starts."""
+"""Callers that connect while a VM starts."""
 
 from asyncio import create_task, sleep
 from unittest import IsolatedAsyncioTestCase
 
 from redwingpost.node.request.start_gate import StartGate
 
-#: Seconds, far above what the loop takes for a turn.
+#: Seconds: far longer than one iteration of the event loop.
 LONG_S = 60.0
 
 
 class StartGateTest(IsolatedAsyncioTestCase):
     async def test_callers_wait_for_the_first_rules(self) -> None:
-        """All VMs lose power; callers come back together.
+        """All VMs lose power, and callers reconnect at the same time.
 
-        A VM listens some hundredths of a second before it has its
-        configuration. Refused in that time, callers have used up their
-        tries when it could serve them.
+        A VM accepts connections some hundredths of a second before it has
+        its configuration. If it refuses callers in that time, they have
+        used all their retries before it can serve them.
         """
         gate = StartGate()
         waiting = create_task(gate.wait(LONG_S))
