--- a/redwingpost/cli/node.py
+++ b/redwingpost/cli/node.py
@@ -6,7 +6,7 @@
 from signal import SIGHUP, SIGINT, SIGTERM
 from sys import argv, exit as sys_exit, stderr
 
-from redwingpost.node.service import Node, Outside
+from redwingpost.node.service import Node, NodePorts
 from redwingpost.observability.journal import configure_journal, log_event
 from redwingpost.platform.caller_server import CallerServer
 from redwingpost.platform.entries import FORMAT
@@ -47,7 +47,7 @@
 
 async def _serve(settings: NodeSettings, path: Path) -> None:
     clock = MonotonicClock()
-    outside = Outside(
+    outside = NodePorts(
         RowStore(settings.store.ip, settings.store.port, clock),
         LineLinkFactory(),
         PromotionCalls(settings.orders.ip, settings.orders.port, clock),
--- a/redwingpost/node/fleet/heartbeat_writer.py
+++ b/redwingpost/node/fleet/heartbeat_writer.py
@@ -59,7 +59,9 @@
 
     def _is_any_group_alert(self) -> bool:
         now = self._clock.now()
-        return any(group.is_alert() for group in self._active_groups(now))
+        return any(
+            group.is_primary_suspect() for group in self._active_groups(now)
+        )
 
     def _active_groups(self, now: float) -> list[GroupClient]:
         """Return the groups whose members this VM contacts itself."""
--- a/redwingpost/node/fleet/readiness_inputs.py
+++ b/redwingpost/node/fleet/readiness_inputs.py
@@ -50,7 +50,7 @@
         this VM is cut off from the others.
         """
         if group.is_home(now):
-            return group.is_useful()
+            return group.can_use_primary()
         return self._vms.hears_half(now, RECENT_HEARTBEAT_S)
 
 
--- a/redwingpost/node/group.py
+++ b/redwingpost/node/group.py
@@ -1,4 +1,4 @@
-"""One group of members: its status rounds, proofs, and samples."""
+"""One VM's client of a database group: probes, proofs and samples."""
 
 from asyncio import (
     Event,
@@ -36,39 +36,39 @@
 from redwingpost.takeover.stall import StallDetector
 from redwingpost.takeover.write_watch import WriteWatch
 
-#: Seconds between rounds of status questions to all members. Statements
-#: show that a member lives, and heartbeats bring samples, so that a round
-#: only finds what neither shows. More often, members would answer more
-#: questions than statements.
-ROUND_S = 30.0
+#: Seconds between rounds of probes to all members. Statements show that a
+#: member is alive, and heartbeats carry samples, so that a round only finds
+#: what neither shows. With shorter intervals members would answer more
+#: probes than statements.
+ROUND_INTERVAL_S = 30.0
 
-#: Seconds between rounds until a first primary is known: members of a
-#: system that starts come one by one.
-FIRST_ROUND_S = 0.4
+#: Seconds between rounds until a first primary is known: when a system
+#: starts, its members register one by one.
+FIRST_ROUND_INTERVAL_S = 0.4
 
-#: Seconds of failures only after which a primary counts as out of reach:
-#: one question and its time limit.
-OUT_OF_REACH_S = 0.5
+#: Seconds of nothing but failures after which a primary counts as
+#: unreachable: one probe and its timeout.
+UNREACHABLE_AFTER_S = 0.5
 
-#: Seconds of failures only after which a member is of no use: two
-#: questions and their time limits.
-USELESS_AFTER_S = 0.8
+#: Seconds of nothing but failures after which a member counts as unusable:
+#: two probes and their timeouts.
+UNUSABLE_AFTER_S = 0.8
 
-#: Seconds that a write may wait for its answer before the primary is
-#: looked at: a commit that reaches no replica hangs.
+#: Seconds without an answer to a write after which the primary is suspect:
+#: a commit that reaches no replica is never answered.
 SLOW_WRITE_S = 0.4
 
-#: Seconds after a statement for which a VM that is no home of a group goes
-#: on dealing with its members.
-ACTIVE_S = 5.0
+#: Seconds after a statement during which a VM that isn't a home of the
+#: group still probes its members.
+ACTIVE_AFTER_USE_S = 5.0
 
-#: Part of the time in which a leaving member may get new work that is
-#: used: other VMs and the caller's way to here take their part.
-DRAIN_PART = 0.6
+#: Fraction of a draining member's drain time in which this VM sends it new
+#: work: the rest is left for the delays of other VMs and of callers.
+DRAIN_WORK_FRACTION = 0.6
 
 
 class GroupClient:
-    """Members of one group, and what is proven of them."""
+    """The members of one group, and what is proven about them."""
 
     def __init__(
         self,
@@ -109,8 +109,8 @@
             vms,
             data_centre,
             clock,
-            self.is_alert,
-            self._settle,
+            self.is_primary_suspect,
+            self._update_leader_state,
         )
         self._changed = Event()
 
@@ -119,7 +119,7 @@
     def follow_directory(
         self, max_connections: int, vms: int, idle_s: float = IDLE_S
     ) -> None:
-        """Take over who is listed, and how many connections each takes."""
+        """Update the members and their connection limits."""
         entries = self._directory.members_of(self.name)
         listed = {entry.member: entry for entry in entries}
         for member in tuple(self.member_by_name):
@@ -130,33 +130,33 @@
             budget = self.member_by_name[member].budget
             budget.set_limits(max_connections, vms, idle_s)
         for client in self.member_by_name.values():
-            client.close_idle(not self.takes_work(client))
+            client.close_idle(not self.accepts_work(client))
 
-    def takes_work(self, client: MemberClient) -> bool:
-        """Say whether a member may get new work."""
+    def accepts_work(self, client: MemberClient) -> bool:
+        """Return whether a member may get new work."""
         listed = self._directory.get(client.entry.member)
         if listed is None:
             return False
         if listed.draining_since is None:
             return True
-        leaving_s = self._clock.now() - listed.draining_since
-        return leaving_s < self._drain_s * DRAIN_PART
+        draining_s = self._clock.now() - listed.draining_since
+        return draining_s < self._drain_s * DRAIN_WORK_FRACTION
 
     def leader(self) -> MemberClient | None:
         """Return the primary if it may get new work."""
         client = self.member_by_name.get(self.evidence.leader or "")
-        if client is None or not self.takes_work(client):
+        if client is None or not self.accepts_work(client):
             return None
         return client
 
-    def is_useful(self) -> bool:
-        """Say whether this VM can serve from the group's primary.
+    def can_use_primary(self) -> bool:
+        """Return whether this VM can serve callers from the primary.
 
-        Without a replica nothing proves its lead, and it can acknowledge
-        nothing: to reach it alone, behind a cut, is of no use.
+        During a partition, reaching the primary alone isn't enough: without
+        a replica nothing proves its lead, and it can't acknowledge commits.
         """
         leader = self.leader()
-        if leader is None or leader.failing_s > USELESS_AFTER_S:
+        if leader is None or leader.failing_s > UNUSABLE_AFTER_S:
             return False
         replicas = [
             client
@@ -164,56 +164,59 @@
             if name != leader.entry.member
         ]
         return not replicas or any(
-            client.failing_s <= USELESS_AFTER_S for client in replicas
+            client.failing_s <= UNUSABLE_AFTER_S for client in replicas
         )
 
     def is_primary_unreachable(self) -> bool:
-        """Say whether the known primary doesn't answer this VM.
+        """Return whether the known primary doesn't answer this VM.
 
-        What is sent to it would hang until its time is over; the caller
-        may find another VM that reaches it.
+        A statement sent to it would wait for its timeout; the caller may
+        find another VM that reaches the primary.
         """
         client = self.member_by_name.get(self.evidence.leader or "")
         if client is None:
             return False
         lost_s = self._centres.lost_s(client.entry.data_centre)
-        return max(client.failing_s, lost_s) > OUT_OF_REACH_S
+        return max(client.failing_s, lost_s) > UNREACHABLE_AFTER_S
 
     def ranked(self, organisation: str) -> list[MemberClient]:
-        """Return members for a read, the best first."""
+        """Return the members that accept reads, the best first."""
         now = self._clock.now()
         clients = [
             client
             for client in self.member_by_name.values()
-            if self.takes_work(client) and client.may_read(now)
+            if self.accepts_work(client) and client.accepts_reads(now)
         ]
-        place = ReadContext(organisation, self._data_centre, now)
-        return rank_for_read(clients, self.evidence, place)
+        context = ReadContext(organisation, self._data_centre, now)
+        return rank_for_read(clients, self.evidence, context)
 
     # Homes -------------------------------------------------------------
 
     def note_use(self) -> None:
-        """Note that a statement runs here, whoever is the group's home."""
+        """Record that this VM runs a statement of the group."""
         self._used_at = self._clock.now()
 
     def is_home(self, now: float) -> bool:
-        """Say whether this VM is a home of the group."""
+        """Return whether this VM is a home of the group."""
         return self._homes is None or self._homes.is_home(self.name, now)
 
     def is_active(self, now: float) -> bool:
-        """Say whether this VM deals with the group's members itself."""
-        return now - self._used_at < ACTIVE_S or self.is_home(now)
+        """Return whether this VM probes the group's members itself."""
+        return now - self._used_at < ACTIVE_AFTER_USE_S or self.is_home(now)
 
     def place(self, now: float) -> int:
-        """Return this VM's place among those that deal with the group."""
+        """Return this VM's place in the order of VMs that probe the group."""
         if self._homes is None:
             return self._vms.place(self.name, now)
         return self._homes.place(self.name, now)
 
     # Rounds ------------------------------------------------------------
 
-    def is_alert(self) -> bool:
-        """Say whether something looks wrong with the primary."""
+    def is_primary_suspect(self) -> bool:
+        """Return whether no healthy, lasting primary is known.
+
+        It may be unknown, failing, draining or unable to commit.
+        """
         leader = self.member_by_name.get(self.evidence.leader or "")
         return (
             leader is None
@@ -225,60 +228,65 @@
             or self.writes.stuck_s(self._clock.now()) > SLOW_WRITE_S
         )
 
-    def ask_if_due(self) -> None:
-        """Ask whichever members must be asked now; don't wait."""
+    def probe_if_due(self) -> None:
+        """Start the probes that are due, without waiting for them."""
         now = self._clock.now()
         if not self.is_active(now):
             if self.leaderless_since is not None:
-                # Nobody here has looked for a primary until now.
+                # While inactive, this VM has not looked for a primary.
                 self.leaderless_since = now
             return
-        if now - self.round_at >= self._round_pause_s(now):
+        if now - self.round_at >= self._round_interval_s(now):
             create_task(self.run_round())
             return
         for name, client in tuple(self.member_by_name.items()):
-            if self._is_question_due(name, client, now):
-                create_task(self._ask_one(client, now))
+            if self._is_probe_due(name, client, now):
+                create_task(self._probe_member(client, now))
 
-    def _round_pause_s(self, now: float) -> float:
-        if self.evidence.term and not self.is_alert():
-            return ROUND_S
-        pause_s = alert_interval_s(self.place(now))
-        return pause_s if self.evidence.term else max(pause_s, FIRST_ROUND_S)
+    def _round_interval_s(self, now: float) -> float:
+        if self.evidence.term and not self.is_primary_suspect():
+            return ROUND_INTERVAL_S
+        interval_s = alert_interval_s(self.place(now))
+        return (
+            interval_s
+            if self.evidence.term
+            else max(interval_s, FIRST_ROUND_INTERVAL_S)
+        )
 
-    def _is_question_due(
+    def _is_probe_due(
         self, member: str, client: MemberClient, now: float
     ) -> bool:
-        quiet = MemberSilence(
+        silence = MemberSilence(
             now - client.answered_at,
             now - client.asked_at,
             self._vms.reached_elsewhere_s(member, now),
             client.waiting_s,
         )
-        if is_overdue(quiet):
+        if is_overdue(silence):
             return True
         if self._centres.is_suspect(client.entry.data_centre):
-            return may_probe(quiet)
+            return may_probe(silence)
         if member != self.evidence.leader:
             return False
-        return is_primary_probe_due(quiet, self.place(now))
+        return is_primary_probe_due(silence, self.place(now))
 
     def note_shared(
         self, member: str, position: Position, taken_at: float
     ) -> None:
-        """Take in a sample that another VM took."""
+        """Record a sample that another VM took."""
         if position.term > self.evidence.term:
-            # Another VM knows of a newer primary: ask now.
+            # Another VM knows a newer primary: bring the next round forward.
             self.round_at = min(
-                self.round_at, self._clock.now() - ROUND_S + ALERT_INTERVAL_S
+                self.round_at,
+                self._clock.now() - ROUND_INTERVAL_S + ALERT_INTERVAL_S,
             )
             return
         self.evidence.note_shared(member, position, taken_at)
 
     async def run_round(self) -> None:
-        """Ask all members for a report; join a round under way."""
+        """Request all members' reports; join a round in progress."""
         if self._round is None or self._round.done():
-            self._round = create_task(self._ask_all())
+            self._round = create_task(self._probe_all_members())
         await shield(self._round)
 
     async def fresh_round(self) -> None:
@@ -287,77 +295,80 @@
             await shield(self._round)
         await self.run_round()
 
-    async def wait_for_change(self, patience: float) -> None:
+    async def wait_for_change(self, timeout_s: float) -> None:
         """Wait until the primary or the proofs change."""
         event = self._changed
         try:
-            await wait_for(event.wait(), max(patience, 0.001))
+            await wait_for(event.wait(), max(timeout_s, 0.001))
         except TimeoutError:
-            # Whoever waits looks at the state again in either case.
+            # Callers check the state again in either case.
             return
 
     def note_refused_as_replica(self, client: MemberClient) -> None:
-        """Note that a member refused a write as no primary."""
+        """Record that a member refused a write because it doesn't lead."""
         self.evidence.note_not_primary(client.entry.member)
         self.writes.clear_stuck()
-        self._settle()
+        self._update_leader_state()
 
     def note_commit(
         self, client: MemberClient, position: Position, sent_at: float
     ) -> None:
-        """Note an acknowledged commit."""
+        """Record an acknowledged commit."""
         self.writes.note_acknowledged(self._clock.now())
         member = client.entry.member
         self.evidence.note_commit(member, position, sent_at)
 
-    def refuse_unprovable(self, left_s: float) -> Refusal | None:
+    def refuse_unprovable(self, remaining_s: float) -> Refusal | None:
         """Refuse a read at the primary that can't be proven in time.
 
         Parameters
         ----------
-        left_s : float
-            Seconds that the caller still waits.
+        remaining_s : float
+            Time until the caller's deadline (seconds).
         """
         wait_s = self.proofs.unprovable_s()
-        if wait_s <= 0.0 or wait_s < left_s:
+        if wait_s <= 0.0 or wait_s < remaining_s:
             return None
         return Refusal(
             Code.NO_PRIMARY,
-            "no replica may vouch for the primary",
+            "no replica can prove that the primary leads",
             round(wait_s * 1000),
         )
 
     def refuse_unconfirmable(
-        self, left_s: float, sync_replicas: int
+        self, remaining_s: float, sync_replicas: int
     ) -> Refusal | None:
         """Refuse a write whose commit can't be confirmed in time.
 
         Parameters
         ----------
-        left_s : float
-            Seconds that the caller still waits.
+        remaining_s : float
+            Time until the caller's deadline (seconds).
         sync_replicas : int
-            Replicas that receive a commit before it is acknowledged. Where
-            there are any, a commit needs no other word in calm times.
+            Replicas that receive a commit before it is acknowledged. If
+            there are any, a commit needs no further confirmation unless a
+            takeover may be in progress.
         """
         if sync_replicas and not needs_confirmation(self.proofs.signs()):
             return None
-        return self.refuse_unprovable(left_s)
+        return self.refuse_unprovable(remaining_s)
 
     async def prove(self) -> bool:
-        """Say whether the primary led at some moment after this call."""
+        """Return whether the primary led at some moment after this call."""
         return await self.proofs.prove()
 
-    async def _ask_all(self) -> None:
+    async def _probe_all_members(self) -> None:
         asked_at = self.round_at = self._clock.now()
         clients = tuple(self.member_by_name.values())
-        await gather(*(self._ask_one(item, asked_at) for item in clients))
+        await gather(*(self._probe_member(item, asked_at) for item in clients))
         self._note_stall()
         self._note_pauses()
-        self._settle()
+        self._update_leader_state()
 
-    async def _ask_one(self, client: MemberClient, asked_at: float) -> None:
-        report = await client.ask("status")
+    async def _probe_member(
+        self, client: MemberClient, asked_at: float
+    ) -> None:
+        report = await client.send_command("status")
         member = client.entry.member
         if report is None or member not in self.member_by_name:
             return
@@ -369,12 +380,12 @@
             if self.proofs.is_trusted(name, now)
         )
         self.evidence.derive_proof(asked_at, provers)
-        self._settle()
+        self._update_leader_state()
 
     def _note_stall(self) -> None:
         leader = self.evidence.leader
-        heard = self.evidence.last_report(leader) if leader else None
-        if heard is None:
+        last = self.evidence.last_report(leader) if leader else None
+        if last is None:
             return
         replicas = [
             other.report.received
@@ -383,14 +394,14 @@
             and (other := self.evidence.last_report(name)) is not None
             and other.asked_at >= self.round_at
         ]
-        head = heard.report.received
+        head = last.report.received
         now = self._clock.now()
         self.stalled_s = self._stall.observe(head, replicas, now)
 
     def _note_pauses(self) -> None:
         is_paused = any(
-            (heard := self.evidence.last_report(name)) is not None
-            and heard.report.paused_for > self.evidence.term
+            (last := self.evidence.last_report(name)) is not None
+            and last.report.paused_for > self.evidence.term
             for name in self.member_by_name
         )
         if not is_paused:
@@ -398,9 +409,9 @@
         elif self.paused_since is None:
             self.paused_since = self._clock.now()
 
-    def _settle(self) -> None:
-        """Wake who waits for a primary; note since when there is none."""
-        self._watch_new_primary()
+    def _update_leader_state(self) -> None:
+        """Record whether a primary is known, and wake waiting calls."""
+        self._reset_writes_on_new_term()
         if self.evidence.leader is not None:
             if self.leaderless_since is not None:
                 log_event(
@@ -416,13 +427,13 @@
         self._changed.set()
         self._changed = Event()
 
-    def _watch_new_primary(self) -> None:
-        """Let writes that hang at a replaced primary count no longer.
+    def _reset_writes_on_new_term(self) -> None:
+        """Forget the writes in flight at a primary that was replaced.
 
-        They may hang for as long as their time limit. Held against the
-        new primary, they would look as if it acknowledged nothing, and it
-        would be replaced in its turn: all replicas paused once more, and
-        no write acknowledged meanwhile.
+        They may stay unanswered until they time out. Counted against the
+        new primary, they would show one that acknowledges nothing, and it
+        would be replaced too: all replicas would be paused again, and no
+        write acknowledged meanwhile.
         """
         if self.evidence.leader is None:
             return
@@ -430,11 +441,11 @@
             self._writes_term = self.evidence.term
             self.writes = WriteWatch()
 
-    # Members, in detail ------------------------------------------------
+    # Changes of members ------------------------------------------------
 
     def _update(self, member: str, entry: MemberEntry) -> None:
         client = self.member_by_name.get(member)
-        if client is not None and _is_same_life(client.entry, entry):
+        if client is not None and _is_same_process(client.entry, entry):
             if client.entry.claims_primary != entry.claims_primary:
                 self.round_at = float("-inf")
             client.entry = entry
@@ -448,10 +459,10 @@
     def _remove(self, member: str) -> None:
         self.member_by_name.pop(member).close()
         self.evidence.forget(member)
-        self._settle()
+        self._update_leader_state()
 
 
-def _is_same_life(known: MemberEntry, entry: MemberEntry) -> bool:
+def _is_same_process(known: MemberEntry, entry: MemberEntry) -> bool:
     return (known.ip, known.port, known.started_ms) == (
         entry.ip,
         entry.port,
--- a/redwingpost/node/lead_proofs.py
+++ b/redwingpost/node/lead_proofs.py
@@ -1,4 +1,4 @@
-"""Ask a group's members whether its primary still leads."""
+"""Queries a group's members for proof that its primary still leads."""
 
 from asyncio import gather
 from collections.abc import Callable
@@ -16,31 +16,32 @@
 from redwingpost.ports.clock import Clock
 from redwingpost.ports.database import StatusReport
 
-#: Seconds of silence after which a replica is asked for a proof last: one
-#: that doesn't answer holds up whoever waits for it.
-DOUBTFUL_S = 1.0
+#: Seconds of silence after which a replica is queried for a proof last: if
+#: it doesn't answer, all that wait for the proof are delayed.
+SILENT_AFTER_S = 1.0
 
-#: Seconds after which callers of a group without any replica may try again.
-NO_REPLICA_S = 0.5
+#: Seconds after which callers of a group without replicas may retry.
+NO_REPLICA_RETRY_S = 0.5
 
 
 class LeadProofs:
-    """Proofs that a primary leads, shared by those who wait for one.
+    """Proofs that a primary leads, shared by all that wait for one.
 
     Parameters
     ----------
     member_by_name : dict of str to MemberClient
         The group's members; the group keeps it up to date.
     evidence : GroupEvidence
-        Takes in what members report.
+        Collects the members' reports.
     directory, vms : Directory, VmTable
-        Which members started again, and what other VMs say of the primary.
+        Give the members' restarts and the primary's health as other VMs
+        report it.
     data_centre : str
-        Where this VM stands: near replicas are asked first.
+        This VM's data centre: its replicas are queried first.
     clock : Clock
-        For the time of questions.
-    is_alert : callable
-        Says whether something looks wrong with the primary.
+        Gives the times of queries.
+    is_primary_suspect : callable
+        Returns whether the primary may have failed or may be replaced.
     on_answers : callable
         Called when reports have come in.
     """
@@ -53,7 +54,7 @@
         vms: VmTable,
         data_centre: str,
         clock: Clock,
-        is_alert: Callable[[], bool],
+        is_primary_suspect: Callable[[], bool],
         on_answers: Callable[[], None],
     ) -> None:
         self._member_by_name = member_by_name
@@ -62,16 +63,16 @@
         self._vms = vms
         self._data_centre = data_centre
         self._clock = clock
-        self._is_alert = is_alert
+        self._is_primary_suspect = is_primary_suspect
         self._on_answers = on_answers
-        self._proof = SharedProof(self._ask)
+        self._proof = SharedProof(self._query)
 
     async def prove(self) -> bool:
-        """Say whether the primary led at some moment after this call."""
+        """Return whether the primary led at some moment after this call."""
         return await self._proof.get()
 
     def signs(self) -> TakeoverSigns:
-        """Return the signs that a takeover may be under way."""
+        """Return the signs that a takeover may be in progress."""
         now = self._clock.now()
         leader = self._evidence.leader or ""
         failing_ms = (
@@ -80,31 +81,34 @@
             for ms in health.failing_ms
         )
         return TakeoverSigns(
-            any(self._is_fresh(name, now) for name in self._replicas()),
+            any(
+                self._restarted_recently(name, now)
+                for name in self._replicas()
+            ),
             max(failing_ms, default=0) / 1000.0,
-            self._is_alert() or self._vms.is_any_write_stuck(now),
+            self._is_primary_suspect() or self._vms.is_any_write_stuck(now),
             self._vms.heard_half_s(now),
         )
 
     def is_trusted(self, member: str, now: float) -> bool:
-        """Say whether a replica's word counts as proof."""
+        """Return whether a replica's report counts as proof."""
         is_listed = self._directory.get(member) is not None
-        return is_listed and not self._is_fresh(member, now)
+        return is_listed and not self._restarted_recently(member, now)
 
     def unprovable_s(self) -> float:
-        """Return for how long no replica's word will count (seconds).
+        """Return how long no replica's report will count (seconds).
 
-        0 where one's counts now. Until then no read at the primary can be
-        proven and no commit confirmed, whoever is asked.
+        0 if one counts now. Until then no read at the primary can be proven
+        and no commit confirmed by any replica.
         """
         now = self._clock.now()
         return min(
             (self._trusted_in_s(name, now) for name in self._replicas()),
-            default=NO_REPLICA_S,
+            default=NO_REPLICA_RETRY_S,
         )
 
     async def query_replicas(self, leader: str) -> tuple[ReplicaAnswer, ...]:
-        """Ask all members but one for a report."""
+        """Request a report from all members but the primary."""
         asked_at = self._clock.now()
         clients = [
             client
@@ -112,7 +116,7 @@
             if name != leader
         ]
         reports = await gather(
-            *(self._report(client, asked_at) for client in clients)
+            *(self._request_report(client, asked_at) for client in clients)
         )
         now = self._clock.now()
         self._on_answers()
@@ -121,39 +125,39 @@
             for client, report in zip(clients, reports, strict=True)
         )
 
-    async def _ask(self) -> bool:
-        """Ask a replica and, in doubt, the primary itself."""
+    async def _query(self) -> bool:
+        """Query a replica and, if needed, the primary itself."""
         leader = self._member_by_name.get(self._evidence.leader or "")
         if leader is None or not needs_claim(self.signs()):
-            return await self._ask_a_replica()
+            return await self._query_replica()
         is_proven, is_claimed = await gather(
-            self._ask_a_replica(), self._ask_leader(leader)
+            self._query_replica(), self._query_leader(leader)
         )
         return is_proven and is_claimed
 
-    async def _ask_a_replica(self) -> bool:
+    async def _query_replica(self) -> bool:
         asked_at = self._clock.now()
         for client in self._provers():
-            report = await self._report(client, asked_at)
+            report = await self._request_report(client, asked_at)
             if report is not None and self._evidence.is_proof(report):
                 self._evidence.note_proof(asked_at)
                 return True
         self._on_answers()
         return False
 
-    async def _ask_leader(self, leader: MemberClient) -> bool:
-        """Say whether the primary itself still says that it leads."""
+    async def _query_leader(self, leader: MemberClient) -> bool:
+        """Return whether the primary itself still reports that it leads."""
         term = self._evidence.term
-        report = await self._report(leader, self._clock.now())
+        report = await self._request_report(leader, self._clock.now())
         self._on_answers()
         if report is None:
             return False
         return report.is_primary and report.term == term
 
-    async def _report(
+    async def _request_report(
         self, client: MemberClient, asked_at: float
     ) -> StatusReport | None:
-        report = await client.ask("status")
+        report = await client.send_command("status")
         member = client.entry.member
         if report is not None and member in self._member_by_name:
             self._evidence.note_report(member, report, asked_at)
@@ -164,32 +168,32 @@
         return [name for name in self._member_by_name if name != leader]
 
     def _provers(self) -> list[MemberClient]:
-        """Return replicas whose word counts, the nearest first."""
+        """Return the trusted replicas in the order to query them."""
         now = self._clock.now()
-        able = [
+        trusted = [
             self._member_by_name[name]
             for name in self._replicas()
             if self.is_trusted(name, now)
         ]
-        return sorted(able, key=self._cost_to_ask)
+        return sorted(trusted, key=self._query_order)
 
-    def _cost_to_ask(self, client: MemberClient) -> tuple[bool, bool]:
-        """Return what speaks against asking a member, the worst first."""
+    def _query_order(self, client: MemberClient) -> tuple[bool, bool]:
+        """Return a sort key: silent members last, then distant ones."""
         is_far = client.entry.data_centre != self._data_centre
-        return client.silent_s > DOUBTFUL_S, is_far
+        return client.silent_s > SILENT_AFTER_S, is_far
 
-    def _is_fresh(self, member: str, now: float) -> bool:
-        """Say whether a member has started again a short while ago."""
+    def _restarted_recently(self, member: str, now: float) -> bool:
+        """Return whether a member has restarted recently."""
         listed = self._directory.get(member)
         if listed is None:
             return False
         return now - listed.restarted_at <= RECENT_RESTART_S
 
     def _trusted_in_s(self, member: str, now: float) -> float:
-        """Return after how long a replica's word counts (seconds)."""
+        """Return the time until a replica's report counts (seconds)."""
         if self.is_trusted(member, now):
             return 0.0
         listed = self._directory.get(member)
         if listed is None:
-            return NO_REPLICA_S
+            return NO_REPLICA_RETRY_S
         return listed.restarted_at + RECENT_RESTART_S - now
--- a/redwingpost/node/member.py
+++ b/redwingpost/node/member.py
@@ -1,4 +1,4 @@
-"""One member as this node uses it: pool, control connection, health."""
+"""One VM's client of a member: pool, control connection and health."""
 
 from asyncio import (
     CancelledError,
@@ -35,40 +35,40 @@
 from redwingpost.statements.session import SessionState
 from redwingpost.statements.setup import setup_steps
 
-#: Seconds for a new connection: a handshake waits its turn for a slot.
-CONNECT_S = 0.6
+#: Seconds for a new connection: the handshake may wait for a free slot.
+CONNECT_TIMEOUT_S = 0.6
 
-#: Seconds for a control command. Answers come within milliseconds; a
-#: member that takes longer is as good as silent to whoever decides.
-CONTROL_S = 0.4
+#: Seconds for a control command. Answers normally take milliseconds; a
+#: member that takes longer than this counts as silent.
+CONTROL_TIMEOUT_S = 0.4
 
-#: Seconds before a connection is tried again at a member that has no
-#: place left, unless one of this VM's own comes free.
-FULL_PAUSE_S = 0.03
+#: Seconds before another attempt to connect to a member that has no free
+#: connection, unless one of this VM's own is released earlier.
+FULL_RETRY_S = 0.03
 
-#: Seconds without a command after which the control connection closes:
-#: of a primary's connections it would take a sixth without any use.
-CONTROL_REST_S = 3.0
+#: Seconds without a command after which the control connection is closed:
+#: unused control connections would take a sixth of a primary's connections.
+CONTROL_IDLE_S = 3.0
 
-#: Seconds for a connection that are worth a line in the log.
+#: Seconds of waiting for a connection above which the wait is logged.
 LONG_WAIT_S = 0.05
 
-#: Seconds for a control command to a member that has kept this VM waiting
-#: for ``SILENT_S``: it will hardly answer, and a takeover waits for the
-#: slowest of those it asks, which is the lost primary.
-SILENT_CONTROL_S = 0.12
+#: Seconds for a control command to a member that has left this VM without
+#: an answer for ``SILENT_S``: it probably won't answer, and a takeover
+#: waits for the slowest member it queries, which is the lost primary.
+SILENT_CONTROL_TIMEOUT_S = 0.12
 SILENT_S = 0.5
 
-#: Seconds after which a statement that waits for a place looks again: a
-#: place may be free that nobody gave back, once the member takes more.
-BUSY_PAUSE_S = 0.1
+#: Seconds after which a statement that waits for a connection checks
+#: again: the limit may have risen, in which case no release wakes it.
+BUSY_RECHECK_S = 0.1
 
 #: Name under which control connections are opened.
 CONTROL_NAME = "redwing-control"
 
 
 class MemberRefused(Exception):
-    """The member took no connection, or no set-up step."""
+    """The member refused a connection or a set-up step."""
 
     def __init__(self, failure: MemberFailure) -> None:
         super().__init__(failure.word)
@@ -76,11 +76,11 @@
 
 
 class NoConnectionFree(Exception):
-    """No connection came free in time."""
+    """No connection was free before the deadline."""
 
 
 class MemberClient:
-    """Connections of this node to one member."""
+    """This VM's connections to one member, and the member's health."""
 
     def __init__(
         self, entry: MemberEntry, links: LinkFactory, clock: Clock
@@ -94,83 +94,83 @@
         self.answered_at = clock.now()
         self.failed_at = float("-inf")
         self.asked_at = float("-inf")
-        self._awaited = 0
+        self._unanswered = 0
         self._sent_at = float("-inf")
         self._links = links
         self._clock = clock
         self._control: DatabaseLink | None = None
         self._control_lock = Lock()
         self._waiting: list[tuple[int, int, Future]] = []
-        self._order = count()
+        self._sequence = count()
 
     @property
     def is_failing(self) -> bool:
-        """Whether something failed there since its last answer."""
+        """Whether anything has failed there since its last answer."""
         return self.failed_at > self.answered_at
 
     @property
     def failing_s(self) -> float:
         """Return for how long everything has failed there (seconds).
 
-        A member that was simply not asked counts as answering.
+        A member that nothing was sent to counts as answering.
         """
         return self.silent_s if self.is_failing else 0.0
 
     @property
     def silent_s(self) -> float:
-        """Return for how long nothing has been heard (seconds)."""
+        """Return the time since the member's last answer (seconds)."""
         return self._clock.now() - self.answered_at
 
     @property
     def waiting_s(self) -> float:
-        """Return for how long statements have waited without any answer.
+        """Return how long statements have waited without any answer.
 
-        Zero where none waits.
+        In seconds; 0 if none waits.
         """
-        if self._awaited == 0:
+        if self._unanswered == 0:
             return 0.0
         return self._clock.now() - max(self._sent_at, self.answered_at)
 
     @property
-    def awaits_answer(self) -> bool:
+    def has_unanswered(self) -> bool:
         """Whether anything sent there has had no answer yet."""
-        return self._awaited > 0 or self.asked_at > self.answered_at
+        return self._unanswered > 0 or self.asked_at > self.answered_at
 
     @property
-    def awaited_s(self) -> float:
-        """Return for how long anything sent there has waited in vain."""
+    def unanswered_s(self) -> float:
+        """Return how long anything sent has been unanswered (seconds)."""
         asked_s = 0.0
         if self.asked_at > self.answered_at:
             asked_s = self._clock.now() - self.asked_at
         return max(self.waiting_s, asked_s, self.failing_s)
 
     def health(self) -> MemberHealth:
-        """Return what the member's answers say of its data centre."""
+        """Return the member's health, for the watch of data centres."""
         return MemberHealth(
-            self.entry.data_centre, self.silent_s, self.awaited_s
+            self.entry.data_centre, self.silent_s, self.unanswered_s
         )
 
-    def may_read(self, now: float) -> bool:
-        """Say whether a read may be sent here.
+    def accepts_reads(self, now: float) -> bool:
+        """Return whether a read may be sent to the member.
 
-        One that failed since it last answered is left until a question
-        is answered again.
+        If it failed since its last answer, it gets no reads until it has
+        answered a probe.
         """
         return now >= self.behind_until and not self.is_failing
 
     def note_answer(self) -> None:
-        """Note that the member has just answered something."""
+        """Record that the member has just answered."""
         self.answered_at = self._clock.now()
 
     def note_sent(self) -> None:
-        """Note that a statement was sent there."""
-        if self._awaited == 0:
+        """Record that a statement was sent to the member."""
+        if self._unanswered == 0:
             self._sent_at = self._clock.now()
-        self._awaited += 1
+        self._unanswered += 1
 
     def note_ended(self) -> None:
-        """Note that a statement has its answer, or never will."""
-        self._awaited -= 1
+        """Record that a statement was answered or is no longer waited for."""
+        self._unanswered -= 1
 
     async def acquire(
         self,
@@ -178,22 +178,22 @@
         values_by_name: dict[str, str],
         shape: Shape | None,
         priority: int,
-        until: float,
+        deadline: float,
     ) -> PooledLink:
         """Claim a connection for one organisation.
 
         Parameters
         ----------
         organisation : str
-            Whose statement is to run.
+            The organisation of the statement.
         values_by_name : dict
             The session's values.
         shape : Shape or None
-            The prepared statement that is about to run.
+            Shape of the prepared statement to run, if it is one.
         priority : int
-            Lower goes first where many wait.
-        until : float
-            When to give up (seconds).
+            Of several waiting statements, the lowest value goes first.
+        deadline : float
+            When to stop waiting (seconds).
 
         Raises
         ------
@@ -205,81 +205,89 @@
             taken = self.pool.take(organisation, values_by_name, shape, now)
             if isinstance(taken, PooledLink):
                 if taken.link.is_open:
-                    self._note_wait(organisation, now - asked_at)
+                    self._log_long_wait(organisation, now - asked_at)
                     return taken
                 self.discard(taken)
             elif isinstance(taken, Open):
-                opened = await self._open(taken, organisation, until)
+                opened = await self._open(taken, organisation, deadline)
                 if opened is not None:
                     waited_s = self._clock.now() - asked_at
-                    self._note_wait(organisation, waited_s)
+                    self._log_long_wait(organisation, waited_s)
                     return opened
-                await self._wait(priority, until, FULL_PAUSE_S)
+                await self._wait_for_connection(
+                    priority, deadline, FULL_RETRY_S
+                )
             elif isinstance(taken, Busy):
-                await self._wait(priority, until, BUSY_PAUSE_S)
+                await self._wait_for_connection(
+                    priority, deadline, BUSY_RECHECK_S
+                )
 
-    async def make_ready(self, item: PooledLink, state: SessionState) -> None:
-        """Give a connection the values of a session.
+    async def make_ready(
+        self, pooled: PooledLink, state: SessionState
+    ) -> None:
+        """Set a session's values on a connection.
 
-        All steps travel together: one by one they were as many round
-        trips as statements, 1 to 3 ms each. The statement itself waits
-        for their answers, since it must not run with other values.
+        All steps are sent together: one by one, each would cost a round
+        trip of 1 to 3 ms. The statement itself is sent only after their
+        answers, since it must not run with other values.
         """
-        steps = setup_steps(item.contents, state.values_by_name)
+        steps = setup_steps(pooled.contents, state.values_by_name)
         if not steps:
             return
-        replies = await item.link.set_up(steps)
+        replies = await pooled.link.set_up(steps)
         for step, reply in zip(steps, replies, strict=True):
             if reply.failure is not None:
                 raise MemberRefused(reply.failure)
-            item.contents.apply(step)
+            pooled.contents.apply(step)
 
-    def release(self, item: PooledLink) -> None:
-        """Give a connection back; a broken one is dropped."""
-        if not item.link.is_open:
-            self.discard(item)
+    def release(self, pooled: PooledLink) -> None:
+        """Return a connection to the pool; discard a broken one."""
+        if not pooled.link.is_open:
+            self.discard(pooled)
             return
-        self.pool.give_back(item, self._clock.now())
-        self._wake()
+        self.pool.give_back(pooled, self._clock.now())
+        self._wake_next()
 
-    def discard(self, item: PooledLink) -> None:
-        """Close a claimed connection whose state is in doubt."""
-        if item.is_dropped:
+    def discard(self, pooled: PooledLink) -> None:
+        """Close a claimed connection whose state is unknown."""
+        if pooled.is_dropped:
             return
-        item.is_dropped = True
-        item.link.close()
-        self._drop()
+        pooled.is_dropped = True
+        pooled.link.close()
+        self._drop_from_pool()
 
-    async def ask(self, command: str, *arguments: int) -> StatusReport | None:
-        """Send a control command; None where no report came."""
-        is_silent = self.awaited_s >= SILENT_S
+    async def send_command(
+        self, command: str, *arguments: int
+    ) -> StatusReport | None:
+        """Send a control command; return None if no report came."""
+        is_silent = self.unanswered_s >= SILENT_S
         self.asked_at = self._clock.now()
         try:
             return await wait_for(
-                self._ask_in_turn(command, arguments),
-                SILENT_CONTROL_S if is_silent else CONTROL_S,
+                self._send_in_turn(command, arguments),
+                SILENT_CONTROL_TIMEOUT_S if is_silent else CONTROL_TIMEOUT_S,
             )
         except MemberRefused as refused:
             if refused.failure.kind is not FailureKind.TOO_MANY_CONNECTIONS:
                 self.failed_at = self._clock.now()
             return None
         except (LinkLost, TimeoutError):
-            # The wait may have ended before its turn came; the command
-            # that is under way is closed by its own cancellation.
+            # The timeout may have ended the wait for the lock; a command
+            # in progress is closed by its own cancellation.
             self.failed_at = self._clock.now()
             return None
 
-    def close_idle(self, all_of_them: bool) -> None:
-        """Close connections that rest for no use."""
+    def close_idle(self, close_all: bool) -> None:
+        """Close connections idle for too long, or all idle ones."""
         now = self._clock.now()
-        if now - self.asked_at > CONTROL_REST_S:
+        if now - self.asked_at > CONTROL_IDLE_S:
             self._close_control()
-        for item in self.pool.close_idle(now, all_of_them):
-            item.link.close()
+        for pooled in self.pool.close_idle(now, close_all):
+            pooled.link.close()
 
     def close(self) -> None:
-        """Close what rests, when the member is gone."""
-        self.close_idle(all_of_them=True)
+        """Close all idle connections of a member that was removed."""
+        self.close_idle(close_all=True)
         self._close_control()
 
     def _close_control(self) -> None:
@@ -287,38 +295,42 @@
             self._control.close()
             self._control = None
 
-    async def _ask_in_turn(
+    async def _send_in_turn(
         self, command: str, arguments: tuple[int, ...]
     ) -> StatusReport | None:
         async with self._control_lock:
             if self._control is None or not self._control.is_open:
-                self._control = await self._connect(CONTROL_NAME, CONNECT_S)
+                self._control = await self._connect(
+                    CONTROL_NAME, CONNECT_TIMEOUT_S
+                )
             report = await getattr(self._control, command)(*arguments)
             self.note_answer()
             return report
 
     async def _open(
-        self, taken: Open, organisation: str, until: float
+        self, taken: Open, organisation: str, deadline: float
     ) -> PooledLink | None:
-        """Open a connection; None where the member takes no more."""
+        """Open a connection; return None if the member accepts no more."""
         if taken.evicted is not None:
             taken.evicted.link.close()
-        patience = min(CONNECT_S, until - self._clock.now())
+        timeout_s = min(CONNECT_TIMEOUT_S, deadline - self._clock.now())
         try:
-            link = await self._connect(organisation, max(patience, 0.01))
+            link = await self._connect(organisation, max(timeout_s, 0.01))
         except MemberRefused as refused:
-            self._drop()
+            self._drop_from_pool()
             if refused.failure.kind is FailureKind.TOO_MANY_CONNECTIONS:
                 return None
             raise
         except BaseException:
-            self._drop()
+            self._drop_from_pool()
             raise
         return PooledLink(link, organisation)
 
-    async def _connect(self, organisation: str, patience: float):
+    async def _connect(self, organisation: str, timeout_s: float):
         try:
-            opened = await self._links.open(self.entry, organisation, patience)
+            opened = await self._links.open(
+                self.entry, organisation, timeout_s
+            )
         except LinkLost as lost:
             self.failed_at = self._clock.now()
             log_event(
@@ -336,36 +348,36 @@
                 word=opened.word,
             )
             if opened.kind is FailureKind.TOO_MANY_CONNECTIONS:
-                # A member that is full lives. Taken for lost, it would be
-                # asked by all VMs, over more connections.
+                # A member at its connection limit is alive. If it counted
+                # as lost, all VMs would probe it over more connections.
                 self.note_answer()
                 self.budget.note_refused(self._clock.now())
             raise MemberRefused(opened)
         return opened
 
-    async def _wait(
-        self, priority: int, until: float, at_most_s: float = float("inf")
+    async def _wait_for_connection(
+        self, priority: int, deadline: float, at_most_s: float = float("inf")
     ) -> None:
-        """Wait for a place; return early after ``at_most_s``."""
-        left_s = until - self._clock.now()
-        if left_s <= 0.0:
+        """Wait for a free connection, at most ``at_most_s`` seconds."""
+        remaining_s = deadline - self._clock.now()
+        if remaining_s <= 0.0:
             raise NoConnectionFree()
-        patience = min(left_s, at_most_s)
+        timeout_s = min(remaining_s, at_most_s)
         future = get_running_loop().create_future()
-        heappush(self._waiting, (priority, next(self._order), future))
+        heappush(self._waiting, (priority, next(self._sequence), future))
         try:
-            await wait_for(future, patience)
+            await wait_for(future, timeout_s)
         except TimeoutError as error:
-            if patience == left_s:
+            if timeout_s == remaining_s:
                 raise NoConnectionFree() from error
         except CancelledError:
-            # Woken and cancelled at once: the place goes to the next, who
-            # would otherwise wait although it is free.
+            # Woken and cancelled at the same time: wake the next, which
+            # would otherwise wait although a connection is free.
             if future.done() and not future.cancelled():
-                self._wake()
+                self._wake_next()
             raise
 
-    def _note_wait(self, organisation: str, waited_s: float) -> None:
+    def _log_long_wait(self, organisation: str, waited_s: float) -> None:
         if waited_s < LONG_WAIT_S:
             return
         log_event(
@@ -377,11 +389,11 @@
             allowed=self.budget.allowed(self._clock.now()),
         )
 
-    def _drop(self) -> None:
+    def _drop_from_pool(self) -> None:
         self.pool.drop()
-        self._wake()
+        self._wake_next()
 
-    def _wake(self) -> None:
+    def _wake_next(self) -> None:
         while self._waiting:
             _, _, future = heappop(self._waiting)
             if not future.done():
@@ -390,5 +402,5 @@
 
 
 def is_proven_success(reply: Reply) -> bool:
-    """Say whether a reply is a success with the member's proof."""
+    """Return whether a reply is a success with the member's proof."""
     return reply.failure is None and reply.proof not in ("", "-")
--- a/redwingpost/node/service.py
+++ b/redwingpost/node/service.py
@@ -1,4 +1,4 @@
-"""The node: puts its parts together, keeps them in step, stops in order."""
+"""The service of one VM: assembles its parts, updates and drains them."""
 
 from asyncio import create_task, gather
 from random import Random
@@ -29,7 +29,7 @@
 from redwingpost.node.forwarding.homes import HomeView
 from redwingpost.node.forwarding.peer import HomeParts
 from redwingpost.node.forwarding.server import HomeServer
-from redwingpost.node.group import DRAIN_PART, GroupClient
+from redwingpost.node.group import DRAIN_WORK_FRACTION, GroupClient
 from redwingpost.node.metrics import NodeMetrics
 from redwingpost.node.request.admission import Admission
 from redwingpost.node.request.reads import ReadRunner
@@ -51,42 +51,43 @@
 from redwingpost.pools.pool import HOME_IDLE_S, IDLE_S
 from redwingpost.rates.usage import UsageLedger
 
-#: Seconds between looks at directory, readiness and pools.
+#: Seconds between updates of directory, readiness and pools.
 STEP_S = 0.1
 
-#: Steps after which groups, pools and metrics are brought in step though
-#: nothing has changed.
-FOLLOW_EVERY = 5
+#: Steps after which groups, pools and metrics are updated even if nothing
+#: has changed.
+SYNC_EVERY_STEPS = 5
 
-#: Seconds between looks at which members must be asked: while something
-#: waits for a member's answer, and while nothing does. The longer one is
-#: below the shortest wait that speaks for a loss.
-ASK_S = 0.05
-IDLE_ASK_S = 0.19
+#: Seconds between checks which members must be probed: while anything waits
+#: for a member's answer, and while nothing does. The longer one is below
+#: the shortest wait that indicates a lost member.
+PROBE_CHECK_S = 0.05
+IDLE_PROBE_CHECK_S = 0.19
 
-#: Connections assumed for a group that the configuration doesn't name.
+#: Connections to a group's members if the configuration doesn't name it.
 _DEFAULT_CONNECTIONS = 32
 
-#: Seconds for which a stopping node goes on as before: the balancer takes
-#: a node out after two missed checks, one a second.
-LEAVE_S = 2.2
+#: Seconds for which a stopping VM serves as before: the load balancer
+#: removes a VM after two failed checks, one a second.
+LEAVE_BALANCER_S = 2.2
 
-#: Seconds after which a node that isn't ready sends resting sessions
-#: elsewhere: on average the balancer has taken it out by then, and who
-#: still comes back to it is sent on with the next look.
-ELSEWHERE_AFTER_S = 1.5
+#: Seconds after which a VM that isn't ready closes resting sessions: on
+#: average the load balancer has removed it by then, and a caller that still
+#: reconnects to it is disconnected again at the next step.
+CLOSE_RESTING_AFTER_S = 1.5
 
-#: Seconds that a caller waits for the first configuration of a VM that
-#: has just started: it is there well within this. Refused at once, callers
-#: who come back together after a loss of power use up their tries.
-START_WAIT_S = 0.5
+#: Seconds that a caller waits for the first configuration of a VM that has
+#: just started; it arrives well within this time. If callers that reconnect
+#: together after a power loss were refused at once, they would use up their
+#: retries.
+START_TIMEOUT_S = 0.5
 
-#: Seconds of the grace that are kept for the end itself.
-_END_MARGIN_S = 0.7
+#: Seconds of the grace period that are reserved for the exit itself.
+_STOP_MARGIN_S = 0.7
 
 
-class Outside(NamedTuple):
-    """What the node needs from outside."""
+class NodePorts(NamedTuple):
+    """The external interfaces that the service uses."""
 
     store: FleetStore
     links: LinkFactory
@@ -95,40 +96,40 @@
     clock: Clock
 
 
-class Callers(Protocol):
-    """The callers' connections, as far as the node ends them."""
+class CallerConnections(Protocol):
+    """The callers' connections, as the service drains them."""
 
     @property
     def open_connections(self) -> int:
         """Return how many callers are connected."""
 
     def stop_listening(self) -> None:
-        """Take no further connections."""
+        """Accept no further connections."""
 
     def close_resting(self) -> int:
-        """Close connections with nothing outstanding; return how many."""
+        """Close connections without open work; return how many."""
 
 
 class Node(Service):
-    """One node of the fleet; opens callers' sessions.
+    """One VM of the fleet; opens callers' sessions.
 
-    ``callers`` is set once somebody listens for them.
+    ``callers`` is set once the caller server listens.
     """
 
     def __init__(
-        self, settings: NodeSettings, outside: Outside, **kwargs: Any
+        self, settings: NodeSettings, ports: NodePorts, **kwargs: Any
     ) -> None:
         super().__init__(**kwargs)
-        clock = outside.clock
+        clock = ports.clock
         self.settings = settings
         self.metrics = NodeMetrics()
         self.directory = Directory(
-            min(REREGISTRATION_S, settings.drain_s * DRAIN_PART)
+            min(REREGISTRATION_S, settings.drain_s * DRAIN_WORK_FRACTION)
         )
         self.group_by_name: dict[str, GroupClient] = {}
         self.is_stopping = False
         self.is_ready = False
-        self._outside = outside
+        self._ports = ports
         self._clock = clock
         self._ledger = UsageLedger(clock.now())
         self._vms = VmTable(settings.vm, clock.now())
@@ -139,7 +140,7 @@
         self._start_gate = StartGate()
         self._unready_since: float | None = None
         self._steps = 0
-        self.callers: Callers | None = None
+        self.callers: CallerConnections | None = None
         self._homes = HomeView(settings.vm, self._vms, self.directory)
         self._channels = Channels(clock)
         self._services = Services(
@@ -189,10 +190,10 @@
     async def open_session(
         self, database: str, key: str
     ) -> NodeSession | Refusal:
-        """Return a session for a caller, or why there is none."""
-        # Behind a cut no configuration will come: no reason to wait.
+        """Return a session for a caller, or the refusal."""
+        # During a partition no configuration arrives, so don't wait for it.
         if not self._rules_watcher.is_lost:
-            await self._start_gate.wait(START_WAIT_S)
+            await self._start_gate.wait(START_TIMEOUT_S)
         session = NodeSession(self._services, database, key)
         checked = session.check()
         if isinstance(checked, Refusal):
@@ -205,34 +206,34 @@
     # Parts -------------------------------------------------------------
 
     def _make_watchers(self) -> None:
-        outside = self._outside
+        ports = self._ports
         store = RelayedStore(
-            outside.store,
+            ports.store,
             self._gathering,
             self.settings.metrics_port,
             FLEET_TABLE,
             self._clock,
         )
         self._rules_reader = RulesReader(
-            self._admission, outside.format, self._on_rules
+            self._admission, ports.format, self._on_rules
         )
         self._member_reader = MemberReader(
             self.directory,
-            outside.format,
+            ports.format,
             self._clock,
             self._on_members,
-            self._answers,
+            self._is_answering,
         )
         self._rules_watcher = TableWatcher(
             store,
-            outside.format.configuration_table,
+            ports.format.configuration_table,
             self._rules_reader,
             self._clock,
             self._try_takeovers,
         )
         self._member_watcher = TableWatcher(
             store,
-            outside.format.member_table,
+            ports.format.member_table,
             self._member_reader,
             self._clock,
             self._try_takeovers,
@@ -252,7 +253,7 @@
 
     def _make_fleet_parts(self) -> None:
         settings = self.settings
-        outside = self._outside
+        ports = self._ports
         self._heartbeat_writer = HeartbeatWriter(
             settings.vm,
             settings.ip,
@@ -268,7 +269,7 @@
             settings.data_centre,
         )
         self._entry = FleetEntry(
-            outside.store,
+            ports.store,
             self._vms,
             self._gathering,
             address,
@@ -291,21 +292,21 @@
         self._admission.on_admitted = self._heartbeats.report_if_due
         self._takeovers = TakeoverKeeper(
             self.group_by_name,
-            DutyKeeper(outside.store, settings.vm, self._clock),
+            DutyKeeper(ports.store, settings.vm, self._clock),
             self._admission,
             self._vms,
             LeaderViews(self._vms, self._centres, self._is_registry_lost),
             self.metrics,
             TakeoverOutside(
                 self.directory,
-                outside.links,
-                outside.orders,
+                ports.links,
+                ports.orders,
                 self._clock,
                 settings.vm,
             ),
         )
         self._rosters = RosterKeeper(
-            outside.store,
+            ports.store,
             self.group_by_name,
             self.directory,
             self._vms,
@@ -353,7 +354,7 @@
         )
 
     def on_init_dependencies(self) -> list[Service]:
-        """Return the parts, which start and stop with the node."""
+        """Return the services that start and stop with this one."""
         return [
             self._ready_pages,
             self._metrics_pages,
@@ -371,21 +372,21 @@
 
     @Service.task
     async def _step(self) -> None:
-        await repeat(self, self._look_around, STEP_S)
+        await repeat(self, self._run_checks, STEP_S)
 
     @Service.task
     async def _rounds(self) -> None:
-        await repeat(self, self._ask_members, self._ask_pause_s)
+        await repeat(self, self._probe_members, self._probe_check_pause_s)
 
-    def _ask_pause_s(self) -> float:
-        awaits = any(
-            client.awaits_answer
+    def _probe_check_pause_s(self) -> float:
+        is_waiting = any(
+            client.has_unanswered
             for group in self.group_by_name.values()
             for client in group.member_by_name.values()
         )
-        return ASK_S if awaits else IDLE_ASK_S
+        return PROBE_CHECK_S if is_waiting else IDLE_PROBE_CHECK_S
 
-    async def _ask_members(self) -> None:
+    async def _probe_members(self) -> None:
         now = self._clock.now()
         groups = tuple(self.group_by_name.values())
         self._centres.update(
@@ -397,24 +398,24 @@
             )
         )
         for group in groups:
-            group.ask_if_due()
+            group.probe_if_due()
 
-    async def _look_around(self) -> None:
-        self._tidy()
-        self._judge_readiness()
+    async def _run_checks(self) -> None:
+        self._update_tables()
+        self._update_readiness()
         self._takeovers.look_at_all()
         self._copy_fetcher.fetch_if_behind()
 
-    def _tidy(self) -> None:
+    def _update_tables(self) -> None:
         now = self._clock.now()
         self._vms.note_hears_half(now)
         if self._member_watcher.is_lost:
             self.directory.note_outage(now)
         self.directory.expire(now)
         self._steps += 1
-        if self._steps % FOLLOW_EVERY:
+        if self._steps % SYNC_EVERY_STEPS:
             return
-        self._follow()
+        self._sync_groups()
         if self.callers is not None:
             self.metrics.sessions.set(self.callers.open_connections)
         self.metrics.version.set(self._admission.rules.version)
@@ -425,10 +426,10 @@
         self._copies.configuration = self._rules_reader.row
         self._homes.take_rules(self._admission.rules)
         self._start_gate.open()
-        self._follow()
+        self._sync_groups()
 
-    def _answers(self, member: str) -> bool:
-        """Say whether nothing has failed at a member since it answered."""
+    def _is_answering(self, member: str) -> bool:
+        """Return whether nothing failed at a member since its last answer."""
         clients = (
             group.member_by_name.get(member)
             for group in self.group_by_name.values()
@@ -438,17 +439,17 @@
         )
 
     def _on_members(self) -> None:
-        self._follow()
+        self._sync_groups()
         self._rosters.look_soon()
 
-    def _follow(self) -> None:
-        """Bring the groups in step with directory and rules."""
+    def _sync_groups(self) -> None:
+        """Update the groups from the directory and the rules."""
         for name in self.directory.groups():
             if name not in self.group_by_name:
                 self.group_by_name[name] = GroupClient(
                     name,
                     self.directory,
-                    self._outside.links,
+                    self._ports.links,
                     self._clock,
                     self.settings.data_centre,
                     self.settings.drain_s,
@@ -469,7 +470,7 @@
 
     # Readiness ---------------------------------------------------------
 
-    def _judge_readiness(self) -> None:
+    def _update_readiness(self) -> None:
         now = self._clock.now()
         inputs = self._readiness_view.describe(self.is_stopping, now)
         is_ready = self._readiness.update(inputs, now)
@@ -477,19 +478,19 @@
             self.is_ready = is_ready
             log_event("readiness", ready=is_ready, **inputs._asdict())
             self._unready_since = None if is_ready else now
-        self._send_callers_elsewhere(now)
+        self._close_resting_sessions(now)
 
-    def _send_callers_elsewhere(self, now: float) -> None:
-        """End resting sessions while others could serve them better.
+    def _close_resting_sessions(self, now: float) -> None:
+        """Close resting sessions while this VM isn't ready.
 
-        The balancer sends only new connections elsewhere. Long sessions
-        would stay behind a cut and be refused until it heals.
+        The load balancer diverts only new connections. During a partition,
+        long sessions would stay here and be refused until it heals.
         """
         if self._unready_since is None or self.is_stopping:
             return
         if (
             self.callers is None
-            or now - self._unready_since < ELSEWHERE_AFTER_S
+            or now - self._unready_since < CLOSE_RESTING_AFTER_S
         ):
             return
         closed = self.callers.close_resting()
@@ -502,20 +503,20 @@
     # Stop --------------------------------------------------------------
 
     async def drain(self) -> None:
-        """Stop in order: leave the balancer, end sessions, then go.
+        """Leave the load balancer, let sessions end, then stop.
 
-        Resting connections are closed once the balancer has had time to
-        send new ones elsewhere.
+        Resting connections are closed once the load balancer has had time
+        to divert new ones.
         """
         callers = self.callers
         started_at = self._clock.now()
         self.is_stopping = True
         log_event("stopping", sessions=callers.open_connections)
         leave = create_task(self._entry.leave())
-        await self.sleep(LEAVE_S)
+        await self.sleep(LEAVE_BALANCER_S)
         callers.stop_listening()
-        until = started_at + self.settings.grace_s - _END_MARGIN_S
-        while self._clock.now() < until:
+        deadline = started_at + self.settings.grace_s - _STOP_MARGIN_S
+        while self._clock.now() < deadline:
             if not callers.open_connections and self._home_server.is_idle:
                 break
             callers.close_resting()
--- a/redwingpost/node/takeover/conductor.py
+++ b/redwingpost/node/takeover/conductor.py
@@ -150,7 +150,7 @@
         """Ask members; one off the roster counts only if it answers."""
 
         async def ask(client: MemberClient) -> MemberStatus:
-            report = await client.ask(command, *arguments)
+            report = await client.send_command(command, *arguments)
             return MemberStatus(client.entry, report)
 
         statuses = await gather(*(ask(item) for item in clients.values()))
@@ -329,7 +329,7 @@
 
     async def _ask_one(self, member: str) -> MemberStatus:
         client = self.clients[member]
-        return MemberStatus(client.entry, await client.ask("status"))
+        return MemberStatus(client.entry, await client.send_command("status"))
 
     # The order -----------------------------------------------------------
 
@@ -370,7 +370,7 @@
         """Say whether the chosen member leads; note it if so."""
         member = chosen.entry.member
         asked_at = self._clock.now()
-        report = await self.clients[member].ask("status")
+        report = await self.clients[member].send_command("status")
         if report is None or not report.is_primary:
             return False
         self._group.evidence.note_report(member, report, asked_at)
--- a/redwingpost/node/takeover/leader_view.py
+++ b/redwingpost/node/takeover/leader_view.py
@@ -39,7 +39,7 @@
         Nearly always nothing is wrong, and a view of it would be the most
         that a VM without callers does.
         """
-        if group.is_alert() or self._vms.is_any_write_stuck(now):
+        if group.is_primary_suspect() or self._vms.is_any_write_stuck(now):
             return True
         client = group.member_by_name.get(group.evidence.leader or "")
         return self._centre_lost_s(client) > 0.0
--- a/redwingpost/node/tests/line_caller.py
+++ b/redwingpost/node/tests/line_caller.py
@@ -5,7 +5,10 @@
 
 
 class Told(NamedTuple):
-    """What a caller was told; ``code`` is empty after a success."""
+    """The result of a statement; ``code`` is empty after a success.
+
+    ``state`` is the session's state as sent with ``READY``.
+    """
 
     rows: tuple[str, ...]
     code: str
@@ -14,7 +17,7 @@
 
 
 class LineCaller:
-    """One session."""
+    """One connection and its session."""
 
     def __init__(self, reader: StreamReader, writer: StreamWriter) -> None:
         self._reader = reader
@@ -27,7 +30,7 @@
         return cls(*await open_connection(ip, port))
 
     async def start(self, database: str, key: str) -> str:
-        """Open the session; return "READY" or the code of the refusal."""
+        """Open the session; return "READY" or the refusal's code."""
         self.send(f"STARTUP {database} {key}")
         word, _, rest = (await self.line()).partition(" ")
         return word if word == "READY" else rest.partition(" ")[0]
@@ -63,5 +66,5 @@
         return raw[:-2].decode("latin-1")
 
     def close(self) -> None:
-        """Leave without a word."""
+        """Close the connection without a message."""
         self._writer.close()
--- a/redwingpost/node/tests/line_site.py
+++ b/redwingpost/node/tests/line_site.py
@@ -1,4 +1,4 @@
-"""Real node processes against the stand-ins, for tests."""
+"""Node processes that run against the stand-ins, for tests."""
 
 from asyncio import create_subprocess_exec, sleep, wait_for
 from asyncio.subprocess import PIPE, Process
@@ -18,15 +18,15 @@
 from redwingpost.platform.settings import PATH_VARIABLE
 from redwingpost.standin.lines.site import LineSite
 
-#: Seconds for anything to come about: long enough for a busy machine,
-#: never waited for where it comes about sooner.
-PATIENCE_S = 20.0
+#: Seconds to wait for any condition: long enough for a busy computer; a
+#: condition that holds earlier ends the wait.
+TIMEOUT_S = 20.0
 
 _SITES = count(1)
 
 
 def configuration(version: int, **changes: Any) -> dict[str, Any]:
-    """Return a configuration with a database of each consistency."""
+    """Return a configuration with one database for each consistency."""
     value = {
         "configVersion": version,
         "routes": [
@@ -64,7 +64,7 @@
 
 
 class NodeProcess:
-    """One node and where it listens."""
+    """One node process and its ports."""
 
     def __init__(
         self, ip: str, ports: dict[str, int], process: Process, log: Path
@@ -81,13 +81,13 @@
     async def caller(self, database: str, key: str = "key-1") -> LineCaller:
         """Return a caller with an open session."""
         caller = await LineCaller.connect(self.ip, self.ports["callers"])
-        told = await caller.start(database, key)
-        if told != "READY":
-            raise AssertionError(f"no session: {told}")
+        answer = await caller.start(database, key)
+        if answer != "READY":
+            raise AssertionError(f"no session: {answer}")
         return caller
 
     async def is_ready(self) -> bool:
-        """Ask for readiness as the balancer does."""
+        """Check the readiness page, as the load balancer does."""
         try:
             caller = await LineCaller.connect(self.ip, self.ports["ready"])
         except OSError:
@@ -100,7 +100,7 @@
     async def metrics(self) -> str:
         """Return the metrics page."""
         client = HttpClient(self.ip, self.ports["metrics"])
-        answer = await client.request("GET", "/metrics", PATIENCE_S)
+        answer = await client.request("GET", "/metrics", TIMEOUT_S)
         client.close()
         return answer.body.decode()
 
@@ -108,20 +108,20 @@
         """Signal the process and return its exit code."""
         if self.process.returncode is None:
             self.process.send_signal(signal)
-        return await wait_for(self.process.wait(), PATIENCE_S)
+        return await wait_for(self.process.wait(), TIMEOUT_S)
 
 
 class NodeSite:
-    """Stand-ins and nodes of one test."""
+    """The stand-ins and node processes of one test."""
 
     def __init__(self) -> None:
         number = next(_SITES)
-        # Addresses of its own: nodes share one inner port, and tests may
-        # run side by side.
+        # Each site has its own addresses: nodes share one inner port, and
+        # tests may run in parallel.
         self._prefix = f"127.{40 + getpid() % 200}.{number % 250}"
         self.outside = LineSite()
         self.nodes: list[NodeProcess] = []
-        self._inner: list[int] = []
+        self._inner_ports: list[int] = []
         self._folder = Path(mkdtemp(prefix="redwing-node-"))
 
     async def start(self, nodes: int = 2) -> None:
@@ -129,14 +129,14 @@
         await self.outside.start(("g1",))
         self.outside.configure(configuration(1))
         first_ip = f"{self._prefix}.1"
-        self._inner = [find_free_port(first_ip) for _ in range(2)]
+        self._inner_ports = [find_free_port(first_ip) for _ in range(2)]
         for _ in range(nodes):
             await self.add_node()
         for node in self.nodes:
             await until(node.is_ready)
 
     async def stop(self) -> None:
-        """End what was started."""
+        """Stop all processes and stand-ins that were started."""
         for node in self.nodes:
             if node.process.returncode is None:
                 await node.end(SIGKILL)
@@ -149,7 +149,7 @@
         ports = {
             "callers": find_free_port(ip),
             "ready": find_free_port(ip),
-            "metrics": self._inner[-1],
+            "metrics": self._inner_ports[-1],
         }
         path = self._folder / f"node-{number}.json"
         path.write_text(dumps(self._settings(f"vm-{number}", ip, ports)))
@@ -177,7 +177,7 @@
                 "front": f"{ip}:{ports['callers']}",
                 "ready": f"{ip}:{ports['ready']}",
             },
-            "innerPorts": self._inner,
+            "innerPorts": self._inner_ports,
             "seeds": [],
             "bounds": {"drainMs": 7000, "graceS": 6},
             "platform": {"address": f"{outside.ip}:{outside.store_port}"},
@@ -198,6 +198,6 @@
             await sleep(0.02)
 
     try:
-        await wait_for(poll(), PATIENCE_S)
+        await wait_for(poll(), TIMEOUT_S)
     except TimeoutError as error:
-        raise AssertionError(f"{what} did not come about") from error
+        raise AssertionError(f"{what} did not happen in time") from error
--- a/redwingpost/node/tests/test_conductor.py
+++ b/redwingpost/node/tests/test_conductor.py
@@ -33,7 +33,9 @@
         self.heard: list[str] = []
         self.before: Callable[[str], None] = lambda command: None
 
-    async def ask(self, command: str, *arguments: int) -> StatusReport | None:
+    async def send_command(
+        self, command: str, *arguments: int
+    ) -> StatusReport | None:
         """Do as told, and report."""
         self.before(command)
         if self.is_silent:
--- a/redwingpost/node/tests/test_failures.py
+++ b/redwingpost/node/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""Nodes as processes against stand-ins that fail."""
+"""Node processes run against stand-ins that fail."""
 
 from asyncio import create_task, gather, sleep
 from time import monotonic
@@ -7,8 +7,8 @@
 from redwingpost.node.tests.line_caller import LineCaller
 from redwingpost.node.tests.line_site import NodeSite, configuration, until
 
-#: Seconds for which members are off the list; they are back sooner than
-#: a member whose entry has lapsed counts as gone.
+#: Seconds for which members aren't listed: shorter than the time after
+#: which a member whose entry has lapsed counts as removed.
 LAPSED_S = 0.5
 
 _NOT_KEPT = {"BUSY", "ABORTED", "LAGGING", "READONLY", "MAXCONN"}
@@ -25,15 +25,14 @@
     async def test_a_dark_primary_is_replaced_and_nothing_is_lost(
         self,
     ) -> None:
-        """The primary's machine loses power.
+        """The primary's VM loses power; statements sent to it hang.
 
-        It never says so: statements sent to it hang. Callers meet errors
-        until a replica leads. Every write that was acknowledged must be
-        in the new primary's log, and no write that was refused as not
-        kept may be.
+        Callers get errors until a replica leads. Every acknowledged write
+        must be in the new primary's log, and no write that was refused as
+        not kept may be in it.
         """
-        told_by_item = await self._write_through(self._darken_primary)
-        self._check(told_by_item)
+        code_by_item = await self._write_through(self._silence_primary)
+        self._check(code_by_item)
         new = self.site.outside.primary_of("g1")
         self.assertNotEqual("g1-m1", new)
         fences = [order.fence for order in self.site.outside.orders]
@@ -42,20 +41,20 @@
     async def test_a_leaving_primary_is_replaced_before_it_goes(
         self,
     ) -> None:
-        """The primary announces that it will stop.
+        """The primary announces that it will stop, and drains.
 
-        It goes on serving for a while. Another must lead before, with
-        everything that was acknowledged; callers should notice little.
+        Before it exits, another member must lead, with every acknowledged
+        write; few callers should get errors.
         """
-        told_by_item = await self._write_through(self._announce_leave)
-        self._check(told_by_item)
+        code_by_item = await self._write_through(self._drain_primary)
+        self._check(code_by_item)
         self.assertNotEqual("g1-m1", self.site.outside.primary_of("g1"))
 
     async def test_a_node_starts_while_a_member_leaves(self) -> None:
-        """A member leaves, and a node is started again meanwhile.
+        """A node starts while a member is draining.
 
-        The node can't know for how long the member has been leaving. New
-        work there would be cut when the member exits.
+        The node can't know how long the member has been draining. New work
+        sent to it would be cut off when the member exits.
         """
         self.site.outside.register("g1-m2", state="draining")
         node = await self.site.add_node()
@@ -63,40 +62,40 @@
         caller = await node.caller("stated")
         sent = [f"new-{number}" for number in range(20)]
         for request in sent:
-            told = await caller.run_as(request, "READ x")
-            self.assertEqual("", told.code)
+            answer = await caller.run_as(request, "READ x")
+            self.assertEqual("", answer.code)
         leaving = self.site.outside.find("g1-m2")
         self.assertEqual([], [run for run in leaving.runs if run[0] in sent])
 
     async def test_a_primary_without_replicas_is_replaced(self) -> None:
-        """The primary is cut off from its replicas, not from the nodes.
+        """The primary is partitioned from its replicas, not from the nodes.
 
-        It answers questions and takes writes, but no write is ever
-        acknowledged. Callers see writes hang.
+        It answers probes and accepts writes, but acknowledges none of them.
+        Callers' writes hang.
         """
-        told_by_item = await self._write_through(self._cut_primary)
-        self._check(told_by_item)
+        code_by_item = await self._write_through(self._partition_primary)
+        self._check(code_by_item)
         self.assertNotEqual("g1-m1", self.site.outside.primary_of("g1"))
 
     async def test_a_lost_answer_to_a_write(self) -> None:
         """The member runs a write, and its answer is lost.
 
-        Sent again it would be stored twice; the caller must be told that
-        nobody knows.
+        If it were sent again, it would run twice; the caller must get the
+        code for an unknown outcome.
         """
         caller = await self.node.caller("own")
         await caller.run("READ x")
         primary = self.site.outside.find("g1-m1")
         primary.lose_answers = 1
-        told = await caller.run_as("only-once", "WRITE x 1")
-        self.assertEqual("INDOUBT", told.code)
+        answer = await caller.run_as("only-once", "WRITE x 1")
+        self.assertEqual("INDOUBT", answer.code)
         runs = [run for run in primary.runs if run[0] == "only-once"]
         self.assertEqual(1, len(runs))
 
     async def test_a_lost_answer_to_a_read(self) -> None:
         """The answer to a read is lost; another member answers instead.
 
-        Without a second try the caller would wait for the whole timeout.
+        Without a second attempt the caller would wait for the timeout.
         """
         writer = await self.node.caller("own")
         await writer.run("WRITE y 1")
@@ -106,8 +105,8 @@
         for name in ("g1-m2", "g1-m3"):
             with self.subTest(name):
                 self.site.outside.find(name).lose_answers = 1
-                told = await reader.run("READ y")
-                self.assertEqual(("1",), told.rows)
+                answer = await reader.run("READ y")
+                self.assertEqual(("1",), answer.rows)
 
     async def test_replicas_that_lag(self) -> None:
         """Replicas receive commits but apply none of them.
@@ -119,14 +118,14 @@
         caller = await self.node.caller("own")
         for number in range(5):
             await caller.run(f"WRITE z {number}")
-            told = await caller.run("READ z")
-            self.assertEqual((str(number),), told.rows)
+            answer = await caller.run("READ z")
+            self.assertEqual((str(number),), answer.rows)
 
     async def test_a_replaced_primary_serves_no_read(self) -> None:
-        """A promotion that this node hasn't heard of has taken effect.
+        """A promotion that this node doesn't know of has taken effect.
 
-        The old primary goes on answering. A read there would miss what
-        the new primary acknowledges.
+        The old primary still answers. A read there would miss the commits
+        that the new primary has acknowledged.
         """
         caller = await self.node.caller("strict")
         await caller.run("WRITE w old")
@@ -137,16 +136,16 @@
         self.assertTrue(old.is_primary)
 
         async def reads_new() -> bool:
-            told = await caller.run("READ w")
-            self.assertNotEqual(("old",), told.rows)
-            return told.rows == ("new",)
+            answer = await caller.run("READ w")
+            self.assertNotEqual(("old",), answer.rows)
+            return answer.rows == ("new",)
 
         await until(reads_new)
 
     async def test_the_rate_holds_over_two_nodes(self) -> None:
-        """An organisation sends far more than its rate through two nodes.
+        """An organisation exceeds its rate limit many times on two nodes.
 
-        Together they may serve its rate and burst, no more.
+        Together they may serve no more than its rate and burst.
         """
         changed = configuration(2)
         changed["tenants"][1].update(ratePerS=10, burst=10)
@@ -157,7 +156,7 @@
             for _ in range(3)
         ]
         await until(lambda: self._is_limited(callers[0]))
-        # The burst, and what refills while both nodes are asked.
+        # The burst, and the tokens added while both nodes are called.
         counts = await gather(*(self._count(item, 40) for item in callers))
         served = sum(counts)
         self.assertLess(served, 6 * 40 / 2)
@@ -165,12 +164,12 @@
     async def test_the_store_is_away(self) -> None:
         """The platform's store is down.
 
-        Nodes that have their configuration go on serving.
+        Nodes that have their configuration must still serve.
         """
         self.site.outside.store.faults.is_down = True
         caller = await self.node.caller("own")
-        told = await caller.run("WRITE s 1")
-        self.assertEqual("", told.code)
+        answer = await caller.run("WRITE s 1")
+        self.assertEqual("", answer.code)
 
     async def test_entries_that_lapse_together_cost_no_read(self) -> None:
         """Guards against groups without members after a store's outage."""
@@ -179,16 +178,17 @@
         members = tuple(self.site.outside.server_by_member)
         for member in members:
             self.site.outside.lapse(member)
-        told = await self._read_for(caller, LAPSED_S)
+        answers = await self._read_for(caller, LAPSED_S)
         for member in members:
             self.site.outside.register(member)
-        told += await self._read_for(caller, LAPSED_S)
-        self.assertEqual({""}, {item.code for item in told})
+        answers += await self._read_for(caller, LAPSED_S)
+        self.assertEqual({""}, {item.code for item in answers})
 
     async def test_broken_input(self) -> None:
-        """Bytes that are no message, or hide one inside another.
+        """Malformed messages, or one message hidden inside another.
 
-        The node answers with an error or closes, and serves on.
+        The node answers with an error or closes the connection, and still
+        serves others.
         """
         cases = (
             "HELLO",
@@ -205,73 +205,73 @@
                 self.assertTrue((await caller.line()).startswith("ERROR"))
         self.assertTrue(await self.node.is_ready())
 
-    # What the tests share ----------------------------------------------
+    # Helpers -----------------------------------------------------------
 
     async def _write_through(self, fault) -> dict[str, str]:
-        """Write all the time, before, during and after a fault."""
-        told_by_item: dict[str, str] = {}
+        """Write continually before, during and after a fault."""
+        code_by_item: dict[str, str] = {}
         workers = [
-            create_task(self._write(node, f"n{number}", told_by_item))
+            create_task(self._write(node, f"n{number}", code_by_item))
             for number, node in enumerate(self.site.nodes)
         ]
-        await until(lambda: len(told_by_item) > 20)
+        await until(lambda: len(code_by_item) > 20)
         await fault()
         await until(
             lambda: self.site.outside.primary_of("g1") != "g1-m1",
             "another primary",
         )
-        seen = len(told_by_item)
+        seen = len(code_by_item)
         await until(
             lambda: any(
-                told == "" for told in list(told_by_item.values())[seen + 5 :]
+                code == "" for code in list(code_by_item.values())[seen + 5 :]
             ),
-            "a write at the new primary",
+            "a write to succeed at the new primary",
         )
         for worker in workers:
             worker.cancel()
         await gather(*workers, return_exceptions=True)
-        return told_by_item
+        return code_by_item
 
     async def _read_for(self, caller: LineCaller, seconds: float) -> list:
-        """Read again and again; return all answers."""
-        until = monotonic() + seconds
-        told = []
-        while monotonic() < until:
-            told.append(await caller.run("READ a"))
+        """Read repeatedly and return all answers."""
+        deadline = monotonic() + seconds
+        answers = []
+        while monotonic() < deadline:
+            answers.append(await caller.run("READ a"))
             await sleep(0.02)
-        return told
+        return answers
 
-    async def _write(self, node, prefix: str, told_by_item: dict) -> None:
+    async def _write(self, node, prefix: str, code_by_item: dict) -> None:
         caller = await node.caller("own")
         number = 0
         while True:
             number += 1
             item = f"{prefix}-{number}"
-            told = await caller.run(f"WRITE {item} 1")
-            told_by_item[item] = told.code
+            answer = await caller.run(f"WRITE {item} 1")
+            code_by_item[item] = answer.code
             await sleep(0.01)
 
-    def _check(self, told_by_item: dict[str, str]) -> None:
+    def _check(self, code_by_item: dict[str, str]) -> None:
         leader = self.site.outside.find(self.site.outside.primary_of("g1"))
         kept = {item for entry in leader.log for item in entry.writes}
-        for item, code in told_by_item.items():
+        for item, code in code_by_item.items():
             if code == "":
                 self.assertIn(item, kept, "acknowledged, but lost")
             elif code in _NOT_KEPT:
                 self.assertNotIn(item, kept, "refused, but kept")
 
-    async def _darken_primary(self) -> None:
+    async def _silence_primary(self) -> None:
         self.site.outside.find("g1-m1").is_dark = True
 
-    async def _announce_leave(self) -> None:
+    async def _drain_primary(self) -> None:
         self.site.outside.register("g1-m1", state="draining")
 
-    async def _cut_primary(self) -> None:
+    async def _partition_primary(self) -> None:
         self.site.outside.find("g1-m1").is_cut_off = True
 
     async def _is_limited(self, caller: LineCaller) -> bool:
         return (await caller.run("READ r")).code == "BUSY"
 
     async def _count(self, caller: LineCaller, times: int) -> int:
-        told = [await caller.run("READ r") for _ in range(times)]
-        return sum(item.code == "" for item in told)
+        answers = [await caller.run("READ r") for _ in range(times)]
+        return sum(item.code == "" for item in answers)
--- a/redwingpost/node/tests/test_group.py
+++ b/redwingpost/node/tests/test_group.py
@@ -1,4 +1,4 @@
-"""What a group's client makes of its members' reports."""
+"""How a group's client evaluates its members' reports."""
 
 from types import SimpleNamespace
 from unittest import IsolatedAsyncioTestCase
@@ -43,7 +43,7 @@
         return SimpleNamespace(is_open=True, status=status, close=lambda: None)
 
     def lead(self, leader: str, term: int) -> None:
-        """Let one member lead and the others follow."""
+        """Set reports of one primary and two replicas that follow it."""
         for member in ("m1", "m2", "m3"):
             head = Position(term, 9)
             self.report_by_member[member] = StatusReport(
@@ -81,13 +81,13 @@
 
 
 class NewPrimaryTest(GroupTest):
-    async def test_hanging_writes_don_t_speak_against_a_new_primary(
+    async def test_writes_at_the_old_primary_do_not_count_for_the_new(
         self,
     ) -> None:
-        """A primary goes dark with writes under way, and is replaced.
+        """A primary stops answering with writes in flight; it is replaced.
 
-        The writes hang on until their time limit. If they counted for
-        the new primary, it would seem to acknowledge nothing, and would
+        The writes stay unanswered until they time out. If they counted for
+        the new primary, it would appear to acknowledge nothing and would
         be replaced as well: callers would wait through a second takeover.
         """
         await self._learn("m1", 1)
@@ -108,7 +108,7 @@
 
 
 class ReplacedPrimaryTest(GroupTest):
-    """A takeover that this VM hasn't heard of: m2 is to succeed m1."""
+    """A takeover that this VM doesn't know of: m2 is to replace m1."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
@@ -140,7 +140,7 @@
         """Guards against commits confirmed by a replica that restarted."""
         cases = (
             (
-                "calm, nobody is asked",
+                "no sign of a takeover, no replica queried",
                 None,
                 {"m2": {"paused_for": 2}},
                 1.0,
@@ -169,7 +169,7 @@
                 False,
             ),
             (
-                "released by a restart that isn't known of",
+                "pause lost in a restart that this VM doesn't know of",
                 self._fail_elsewhere,
                 {"m2": {"paused_for": 2}},
                 HELD_UP_S,
@@ -186,7 +186,7 @@
                 self.assertEqual(expected, await self._confirm(sent_s_ago))
 
     async def test_a_primary_that_is_known_to_be_replaced(self) -> None:
-        """Guards against proofs of the new primary's lead taken for it."""
+        """Guards against proofs of the new primary's lead used for the old."""
         leader = self.group.member_by_name["m1"]
         await self._learn("m2", 2)
         now = self.clock.now()
@@ -207,7 +207,7 @@
         self.assertTrue(await self._confirm())
 
     async def test_a_primary_that_is_leaving_must_claim_its_lead(self) -> None:
-        """Guards against stale reads vouched for by a replica cut off."""
+        """Guards against stale reads proven by a partitioned replica."""
         self.assertTrue(await self.group.prove())
         leaving = _entry("m1")._replace(is_draining=True)
         self.directory.put(leaving, self.clock.now())
@@ -217,7 +217,7 @@
         self.assertFalse(await self.group.prove())
 
     async def test_a_primary_must_claim_its_lead_to_a_vm_cut_off(self) -> None:
-        """Guards against stale reads right after a cut has healed."""
+        """Guards against stale reads right after a partition has healed."""
         others = tuple(VmAddress(f"vm-{n}", f"ip{n}", 1) for n in (1, 2, 3))
         self.vms.set_listed(others)
         self.assertTrue(await self.group.prove())
--- a/redwingpost/node/tests/test_member.py
+++ b/redwingpost/node/tests/test_member.py
@@ -1,4 +1,4 @@
-"""What a member's refusals say of it."""
+"""How a member's refusals affect its health."""
 
 from unittest import IsolatedAsyncioTestCase
 
@@ -15,7 +15,7 @@
 
 
 class RefusingMember:
-    """Opens no link, for a given reason."""
+    """Opens no link: returns or raises the given failure."""
 
     def __init__(self, reason: MemberFailure | LinkLost) -> None:
         self._reason = reason
@@ -23,7 +23,7 @@
     async def open(
         self, entry: MemberEntry, organisation: str, timeout_s: float
     ) -> MemberFailure:
-        """Refuse, or fail."""
+        """Return or raise the failure."""
         if isinstance(self._reason, LinkLost):
             raise self._reason
         return self._reason
@@ -44,6 +44,6 @@
                 clock = VirtualClock()
                 client = MemberClient(_ENTRY, RefusingMember(reason), clock)
                 clock.advance(2.0)
-                self.assertIsNone(await client.ask("status"))
+                self.assertIsNone(await client.send_command("status"))
                 self.assertEqual(failing_s, client.failing_s)
                 self.assertEqual(failing_s > 0.0, client.is_failing)
--- a/redwingpost/node/tests/test_walks.py
+++ b/redwingpost/node/tests/test_walks.py
@@ -1,4 +1,4 @@
-"""From a failed request's id to its cause, with logs and metrics only.
+"""Finds the cause of a failed request by its id, from logs and metrics only.
 
 The steps are those of docs/OPERATIONS.md.
 """
@@ -18,38 +18,38 @@
         await self.site.start(nodes=2)
 
     async def test_refused_for_the_rate(self) -> None:
-        """An organisation sends many times its rate; a caller complains.
+        """An organisation sends many times its rate; a caller is refused.
 
-        The walk must end at the organisation's own demand, and at who
-        offered most to the group.
+        The steps must lead to the organisation's own demand, and to the
+        organisation that sent most operations to the group.
         """
-        request = await self._be_refused_for_the_rate()
+        request = await self._exceed_rate()
 
         # Step 1: the id.
         line = self._line_of("over-rate", request)
-        # Step 2: what decided.
+        # Step 2: the inputs of the decision.
         self.assertEqual("diocese", line["organisation"])
         self.assertEqual(2.0, line["rate"])
         self.assertLess(line["tokens"], 1.0)
         self.assertGreater(line["demand_per_s"], line["rate"])
         self.assertEqual(2, line["version"])
-        # Step 3: who offered how much to the group.
-        loudest = (await self._usage())[0]
-        self.assertEqual("diocese", loudest.organisation)
-        self.assertGreater(loudest.refused_by_reason["over-rate"], 0)
-        self.assertLess(loudest.granted, loudest.offered)
+        # Step 3: the operations that each organisation sent to the group.
+        largest = (await self._usage())[0]
+        self.assertEqual("diocese", largest.organisation)
+        self.assertGreater(largest.refused_by_reason["over-rate"], 0)
+        self.assertLess(largest.granted, largest.offered)
 
     async def test_in_doubt_through_a_change_of_primary(self) -> None:
-        """The primary goes dark while it runs a write.
+        """The primary stops answering while it runs a write.
 
-        The caller hears that nobody knows. The walk must end at the
-        takeover that replaced the member that was asked.
+        The caller gets the code for an unknown outcome. The steps must lead
+        to the takeover that replaced the member which got the write.
         """
-        request = await self._be_left_in_doubt()
+        request = await self._get_unknown_outcome()
 
         # Step 1: the id.
         line = self._line_of("write-unknown", request)
-        # Step 2: the member that was asked and the term it led.
+        # Step 2: the member that got the write, and its term.
         self.assertEqual("g1-m1", line["member"])
         # Step 3: what happened to the group after that.
         group = line["group"]
@@ -64,18 +64,18 @@
         self.assertNotEqual([], later)
 
     async def test_late_in_a_full_queue(self) -> None:
-        """The members' slots are taken; statements wait for a connection.
+        """The member's slots are taken; statements wait for a connection.
 
-        The caller's statement succeeds, late. The walk must end at the
-        wait for a place at the member, not at the member's work.
+        The caller's statement succeeds, but late. The steps must lead to
+        the wait for a connection to the member, not to the member's work.
         """
-        request = await self._be_late()
+        request = await self._get_late_answer()
 
         # Step 1: the id.
         line = self._line_of("statement-late", request)
-        # Step 2: where the time went.
+        # Step 2: most of the time was spent waiting.
         self.assertGreater(line["waited_s"], line["seconds"] / 2.0)
-        # Step 3: the places at that member.
+        # Step 3: all connections to that member were in use.
         waits = [
             item
             for item in self._lines("waited-for-connection")
@@ -87,35 +87,35 @@
 
     # Failures ----------------------------------------------------------
 
-    async def _be_refused_for_the_rate(self) -> str:
+    async def _exceed_rate(self) -> str:
         changed = configuration(2)
         changed["tenants"][1].update(ratePerS=2, burst=4)
         self.site.outside.configure(changed)
         node = self.site.nodes[0]
         caller = await node.caller("stated", "key-3")
         await until(lambda: self._is_in_force(2))
-        told_by_request = {}
+        code_by_request = {}
         for number in range(30):
             request = f"rate-{number}"
-            told = await caller.run_as(request, "READ r")
-            told_by_request[request] = told.code
+            answer = await caller.run_as(request, "READ r")
+            code_by_request[request] = answer.code
         refused = [
             request
-            for request, code in told_by_request.items()
+            for request, code in code_by_request.items()
             if code == "BUSY"
         ]
         self.assertNotEqual([], refused)
         return refused[-1]
 
-    async def _be_left_in_doubt(self) -> str:
+    async def _get_unknown_outcome(self) -> str:
         primary = self.site.outside.find("g1-m1")
         node = self.site.nodes[0]
-        calm = await node.caller("own")
-        self.assertEqual("", (await calm.run("WRITE a 1")).code)
+        first_caller = await node.caller("own")
+        self.assertEqual("", (await first_caller.run("WRITE a 1")).code)
         caller = await node.caller("own")
         primary.lose_answers = 1000
-        told = await caller.run_as("doubt-1", "WRITE b 1")
-        self.assertEqual("INDOUBT", told.code)
+        answer = await caller.run_as("doubt-1", "WRITE b 1")
+        self.assertEqual("INDOUBT", answer.code)
         primary.is_dark = True
         await until(
             lambda: self.site.outside.primary_of("g1") != "g1-m1",
@@ -130,17 +130,17 @@
         )
         return "doubt-1"
 
-    async def _be_late(self) -> str:
+    async def _get_late_answer(self) -> str:
         scarce = configuration(2)
-        # A third of six places, less one for control, is one a node.
+        # A third of six connections, less one for control, is one per node.
         scarce["services"][0]["maxConns"] = 4
         self.site.outside.configure(scarce)
         node = self.site.nodes[0]
         await until(lambda: self._is_in_force(2))
         callers = [await node.caller("own") for _ in range(6)]
         for number, caller in enumerate(callers):
-            told = await caller.run(f"WRITE warm-{number} 1")
-            self.assertEqual("", told.code)
+            answer = await caller.run(f"WRITE warm-{number} 1")
+            self.assertEqual("", answer.code)
         server = self.site.outside.server_by_member["g1-m1"]
         for _ in range(5):
             await server.slots.acquire()
@@ -151,8 +151,8 @@
         await sleep(0.4)
         for _ in range(5):
             server.slots.release()
-        told = await gather(*writes)
-        self.assertEqual({""}, {item.code for item in told})
+        answers = await gather(*writes)
+        self.assertEqual({""}, {item.code for item in answers})
         waited = [
             item["request"]
             for item in self._lines("statement-late")
