--- a/redwingpost/node/tests/test_failures.py
+++ b/redwingpost/node/tests/test_failures.py
@@ -261,7 +261,7 @@
                 self.assertNotIn(item, kept, "refused, but kept")
 
     async def _silence_primary(self) -> None:
-        self.site.outside.find("g1-m1").is_dark = True
+        self.site.outside.find("g1-m1").is_unresponsive = True
 
     async def _drain_primary(self) -> None:
         self.site.outside.register("g1-m1", state="draining")
