--- a/redwingpost/agent/__init__.py
+++ b/redwingpost/agent/__init__.py
@@ -1,6 +1,8 @@
-"""The agent: one per VM, all alike; membership, configuration, health.
+"""The agent, which runs once on each VM; all agents have the same role.
 
-Further parts of the agent register themselves with ``AGENT_PARTS``.
+It maintains membership, distributes the configuration and checks the
+health of database members. Parts of the agent register themselves with
+``AGENT_PARTS``.
 """
 
 from redwingpost.agent.context import AGENT_PARTS, AgentContext
--- a/redwingpost/agent/context.py
+++ b/redwingpost/agent/context.py
@@ -1,4 +1,4 @@
-"""What the parts of an agent share, and how they are put in place."""
+"""The context that an agent's parts share, and the registry of parts."""
 
 from asyncio import Task, create_task
 from collections.abc import Callable, Coroutine, Iterable
@@ -14,7 +14,7 @@
 
 
 class AgentContext:
-    """Handed to each part of an agent when it is made.
+    """Settings, ports and state shared by an agent's parts.
 
     Attributes
     ----------
@@ -23,18 +23,18 @@
     clock : Clock
         Source of time.
     tables, objects, vm_list : ports
-        The platform.
+        The platform's table service, object store and list of VMs.
     peers : PeerClients
         For calls to other VMs' agents.
     interfaces : NodeInterfaces
-        A part that serves an interface puts it here when it is made.
+        RPC interfaces to serve, set by the parts on construction.
     state : FleetState
         Configuration, members, views, shares.
     registry : CollectorRegistry
-        For metrics.
+        Registry of this agent's metrics.
     announce : callable
-        Spreads views of groups to all agents and proxies; filled by the
-        fleet part.
+        Sends views of groups to all agents and proxies; set by the fleet
+        part.
     """
 
     def __init__(
@@ -59,18 +59,19 @@
         )
         self._tasks: set[Task] = set()
 
-    def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run work beside the caller; the agent's stop ends it."""
-        task = create_task(work)
+    def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        """Run a coroutine as a task that is cancelled when the agent stops."""
+        task = create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def cancel_spawned(self) -> None:
-        """End the work that still runs."""
+        """Cancel the tasks that still run."""
         for task in tuple(self._tasks):
             task.cancel()
 
 
-#: Parts of the agent by name: each is given the context and returns a
-#: ``mode.Service``. Parts in ``redwingpost.agent.parts`` are imported.
+#: Factories of the agent's parts by name: each takes the context and
+#: returns a ``mode.Service``. ``redwingpost.agent.parts`` imports the
+#: modules that register them.
 AGENT_PARTS: Registry[Callable[[AgentContext], Any]] = Registry("agent part")
--- a/redwingpost/agent/diverged.py
+++ b/redwingpost/agent/diverged.py
@@ -1,9 +1,9 @@
-"""Report transactions that a promotion dropped from the log in force.
+"""Report transactions that a promotion discarded from the current log.
 
-They stand in the returned primary's own list and nowhere else; unless
-someone is told, an order that was called "not confirmed" is looked for
-in vain. Statements may hold callers' data, so the log names positions
-only; the statements go to the platform's object store.
+Only the former primary still lists them, so a write that was answered
+"not confirmed" could not be traced unless they are reported. Statements
+may contain callers' data, so the log names positions only; the statements
+are stored in the platform's object store.
 """
 
 from collections.abc import Callable, Coroutine
@@ -18,23 +18,23 @@
 from redwingpost.core import Position
 from redwingpost.ports import MemberStatus, TargetError, TargetLost
 
-#: Seconds between two looks at a member's list, and for one look.
-LOOK_INTERVAL_S = 5.0
-LOOK_TIMEOUT_S = 2.0
+#: Seconds between two queries of a member's list, and a query's time-out.
+CHECK_INTERVAL_S = 5.0
+CHECK_TIMEOUT_S = 2.0
 
 
 class DivergenceReporter:
-    """Looks for transactions set aside, and reports each once.
+    """Queries members for diverged transactions and reports each once.
 
     Parameters
     ----------
     context : AgentContext
-        What the agent's parts share.
+        The agent's shared context.
     """
 
     def __init__(self, context: AgentContext) -> None:
         self._context = context
-        self._looked_at_by_member: dict[str, float] = {}
+        self._checked_at_by_member: dict[str, float] = {}
         self._reported_by_member: dict[str, frozenset[Position]] = {}
         self._gauge = Gauge(
             "redwing_diverged_transactions",
@@ -43,29 +43,29 @@
             registry=context.registry,
         )
 
-    def watch(
+    def check_replicas(
         self,
         watch: Any,
         statuses: tuple[MemberStatus, ...],
         spawn: Callable[[Coroutine[Any, Any, None]], Any],
     ) -> None:
-        """Look at each member now and then."""
+        """Query each replica that is due."""
         now = self._context.clock.now()
         for status in statuses:
-            last = self._looked_at_by_member.get(status.member, float("-inf"))
-            if status.role == "replica" and now - last >= LOOK_INTERVAL_S:
-                self._looked_at_by_member[status.member] = now
+            last = self._checked_at_by_member.get(status.member, float("-inf"))
+            if status.role == "replica" and now - last >= CHECK_INTERVAL_S:
+                self._checked_at_by_member[status.member] = now
                 probe = watch.probes_by_member[status.member]
-                spawn(self._look(watch.group, probe))
+                spawn(self._check_member(watch.group, probe))
 
-    async def _look(self, group: str, probe: MemberProbe) -> None:
+    async def _check_member(self, group: str, probe: MemberProbe) -> None:
         member = probe.address.member
         try:
             connection = await probe.take_connection()
-            found = await connection.diverged(LOOK_TIMEOUT_S)
+            found = await connection.diverged(CHECK_TIMEOUT_S)
         except (TargetError, TargetLost):
             return
-        await probe.give_back(connection)
+        await probe.return_connection(connection)
         known = self._reported_by_member.get(member, frozenset())
         new = [entry for entry in found if entry[0] not in known]
         if new and await self._report(group, member, new):
@@ -80,7 +80,7 @@
     ) -> bool:
         first, last = new[0][0], new[-1][0]
         logger.warning(
-            "{} set {} statements aside, {} to {}",
+            "{} discarded {} diverged statements, positions {} to {}",
             member,
             len(new),
             first,
--- a/redwingpost/agent/exchange.py
+++ b/redwingpost/agent/exchange.py
@@ -1,10 +1,11 @@
-"""Exchanges between two agents, and how news is spread by them.
-
-One exchange brings both sides level: heartbeats and digests go both
-ways, then the caller fetches what it lacks and hands over what the other
-lacks. All calls go one way, so that it also works where only one side
-can dial the other. Spreading news is an exchange with each agent that is
-to be told; one that already knows costs a few hundred bytes.
+"""Anti-entropy exchanges between two agents, and dissemination of news.
+
+One exchange synchronises both sides: heartbeats and digests travel both
+ways, then the caller fetches what it lacks and pushes what the other
+lacks. The caller makes all calls, so that an exchange also works where
+only one side can dial the other. News is disseminated by an exchange
+with each recipient; one that is already up to date costs a few hundred
+bytes.
 """
 
 from asyncio import gather, sleep
@@ -40,37 +41,41 @@
     select_recipients,
 )
 
-#: Seconds one call of an exchange may take. A cut link costs a beat no
-#: more than this, and half a second is a hundred times the distance
-#: between two data centres of one region.
-CALL_S = 0.5
+#: Time-out of one call of an exchange (seconds). A cut link delays a
+#: heartbeat by no more than this, and half a second is a hundred times
+#: the round trip between two data centres of one region.
+CALL_TIMEOUT_S = 0.5
 
-#: A whole configuration may take longer than a heartbeat (seconds).
-BODY_CALL_S = 2.0
+#: Time-out of a call that carries a whole configuration (seconds), which
+#: may take longer than a heartbeat.
+BODY_CALL_TIMEOUT_S = 2.0
 
-#: Pauses before news is repeated to a VM that didn't answer (seconds).
-TELL_AGAIN_S = (0.5, 1.0, 2.0, 4.0, 8.0)
+#: Delays before an exchange is retried with a VM that didn't answer
+#: (seconds).
+RETRY_DELAYS_S = (0.5, 1.0, 2.0, 4.0, 8.0)
 
-#: Seconds for which a peer that failed is avoided.
-AVOID_S = 2.0
+#: Seconds for which a peer is avoided after a failed exchange.
+AVOID_FAILED_PEER_S = 2.0
 
-#: Relays of other data centres that a relay's answer to a neighbour
-#: tells of: all of them at four data centres, in five answers at 14.
+#: Relays of other data centres whose heartbeats a relay includes in one
+#: answer to a neighbour: all of them at four data centres; at 14 it takes
+#: five answers.
 RELAYS_PER_ANSWER = 3
 
-#: After so long a clock-given incarnation that is lower than one heard
-#: of this VM's name means that the VM was replaced; before it, that its
-#: clock was set back (seconds).
-STARTING_S = 5.0
+#: Incarnations are taken from the wall clock. If this VM receives an
+#: entry of its own name with a higher incarnation, its clock was set back
+#: if it started less than this long ago (seconds); later, another VM has
+#: replaced it.
+STARTUP_S = 5.0
 
 
 class Exchanger:
-    """Exchanges of one agent.
+    """Runs one agent's exchanges with other agents.
 
     Parameters
     ----------
     context : AgentContext
-        What the agent shares.
+        The agent's shared context.
     """
 
     def __init__(self, context: AgentContext) -> None:
@@ -78,12 +83,12 @@
         self._state = context.state
         self._cursors = BeatCursors()
         self._failed_at_by_vm: dict[str, float] = {}
-        self._differing: set[str] = set()
+        self._differing_vms: set[str] = set()
         self._relay_turn = 0
-        #: When each VM last exchanged with this one, whoever called.
+        #: Time of the last exchange with each VM, whichever side called.
         self.exchanged_at_by_vm: dict[str, float] = {}
         self._started_at = context.clock.now()
-        self.unreached_since: dict[str, float] = {}
+        self.unreached_since_by_vm: dict[str, float] = {}
         self.replaced = False
         self._exchanges = Counter(
             "redwing_exchanges",
@@ -92,22 +97,22 @@
             registry=context.registry,
         )
 
-    def avoided(self) -> frozenset[str]:
-        """Return the VMs that could not be reached a moment ago."""
+    def recently_failed(self) -> frozenset[str]:
+        """Return the VMs whose last exchange failed a moment ago."""
         now = self._context.clock.now()
         return frozenset(
             vm
             for vm, at in self._failed_at_by_vm.items()
-            if now - at < AVOID_S
+            if now - at < AVOID_FAILED_PEER_S
         )
 
     def unreached_s(self, vm: str) -> float:
-        """Return for how long a VM has not answered; 0 if it does."""
-        since = self.unreached_since.get(vm)
+        """Return how long a VM has not answered (seconds); 0 if it does."""
+        since = self.unreached_since_by_vm.get(vm)
         return self._context.clock.now() - since if since else 0.0
 
     async def exchange(self, vm: str) -> bool:
-        """Bring this agent and another level; say whether it answered."""
+        """Synchronise with another agent; return whether it answered."""
         member = self._state.members.by_vm.get(vm)
         if member is None or not member.beat.agent_port:
             return False
@@ -118,42 +123,42 @@
             self._note_failure(vm)
             return False
         self._note_success(vm)
-        level = await self._level(vm, address, digest)
-        if level:
-            self._confirm(member.beat, digest, began_at)
+        is_synchronised = await self._synchronise(vm, address, digest)
+        if is_synchronised:
+            self._note_confirmation(member.beat, digest, began_at)
         return True
 
     async def _exchange_beats(
         self, vm: str, address: PeerAddress, began_at: float
     ) -> Digest | None:
-        beats = self.outgoing(vm, vm in self._differing)
+        beats = self.beats_to_send(vm, vm in self._differing_vms)
         mine = encode_digest(self._state.digest())
         answer = await self._context.peers.call(
             address,
             lambda node: node.fleet().fleet.beat(beats=beats, digest=mine),
-            CALL_S,
+            CALL_TIMEOUT_S,
         )
         if answer.is_error():
             return None
-        self.incoming(answer.ok.beats, vm, began_at)
+        self.merge_beats(answer.ok.beats, vm, began_at)
         return decode_digest(answer.ok.digest)
 
-    def outgoing(self, peer: str, differs: bool) -> list[dict[str, Any]]:
+    def beats_to_send(self, peer: str, differs: bool) -> list[dict[str, Any]]:
         """Return the heartbeats of the next message to a peer."""
         now = self._context.clock.now()
         members = self._state.members
-        own = [self._state.vm, *self._relays_to_vouch(peer)]
+        own = [self._state.vm, *self._remote_relays_to_include(peer)]
         beats = self._cursors.next_beats(members, peer, own, differs)
         return [
             encode_beat(beat, members.by_vm[beat.vm].silent_s(now))
             for beat in beats
         ]
 
-    def _relays_to_vouch(self, peer: str) -> list[str]:
+    def _remote_relays_to_include(self, peer: str) -> list[str]:
         """Return relays elsewhere whose heartbeats a neighbour needs.
 
-        They vouch for their data centres; a VM that doesn't relay hears
-        of them only here.
+        A relay's heartbeat shows that its data centre can be reached. A
+        VM that isn't a relay receives such heartbeats only here.
         """
         state = self._state
         known = state.members.by_vm.get(peer)
@@ -173,12 +178,12 @@
         self._relay_turn += RELAYS_PER_ANSWER
         return (relays + relays)[start : start + RELAYS_PER_ANSWER]
 
-    def incoming(self, beats: Any, sender: str, at: float) -> None:
-        """Take in the heartbeats of a message that began at ``at``."""
+    def merge_beats(self, beats: Any, sender: str, at: float) -> None:
+        """Merge the heartbeats of a message whose call began at ``at``."""
         for reader in beats:
             beat, age_s = decode_beat(reader)
             if beat.vm == self._state.vm:
-                self._hear_of_self(beat)
+                self._handle_own_entry(beat)
                 continue
             direct = beat.vm == sender
             known = self._state.members.by_vm.get(beat.vm)
@@ -190,62 +195,62 @@
                 BeatSource.DIRECT if direct else BeatSource.RELAYED,
             )
 
-    def _hear_of_self(self, beat: Beat) -> None:
-        """Meet an entry of this VM's own name.
+    def _handle_own_entry(self, beat: Beat) -> None:
+        """Handle an entry with this VM's own name.
 
-        A higher incarnation is either this VM's predecessor, and the
-        clock was set back since, or a VM that has taken its place while
-        this one was paused. Two VMs under one name would take each
-        other's shares in turns, so the older one stops.
+        A higher incarnation belongs either to this VM's predecessor, if
+        the clock was set back since, or to a VM that replaced this one
+        while it was paused. Two VMs with one name would take over each
+        other's shares in turn, so the older one drains.
         """
         state = self._state
         if beat.incarnation <= state.incarnation:
             return
         running_s = self._context.clock.now() - self._started_at
-        if running_s < STARTING_S:
+        if running_s < STARTUP_S:
             state.incarnation = beat.incarnation + 1
-            state.beat_again()
+            state.renew_own_beat()
         elif not self.replaced:
             self.replaced = True
-            logger.error("another VM has taken the name {}", state.vm)
+            logger.error("another VM runs under the name {}", state.vm)
             state.drain()
 
     def answer(self, beats: Any, theirs: Digest) -> list[dict[str, Any]]:
-        """Take in a caller's heartbeats and return the answer's."""
+        """Merge a caller's heartbeats and return those of the answer."""
         now = self._context.clock.now()
         caller = beats[0].vm if len(beats) else ""
-        self.incoming(beats, caller, now)
+        self.merge_beats(beats, caller, now)
         self.exchanged_at_by_vm[caller] = now
         mine = self._state.digest()
         self._note_difference(caller, mine, theirs)
         known = self._state.members.by_vm.get(caller)
         if known and theirs.withdrawals_mark == mine.withdrawals_mark:
-            # The caller knew that much when it called, and gives a call
-            # up after CALL_S.
-            self._confirm(known.beat, theirs, now - CALL_S)
-        return self.outgoing(caller, caller in self._differing)
+            # The caller had these withdrawals when it called, and its
+            # call times out after CALL_TIMEOUT_S.
+            self._note_confirmation(known.beat, theirs, now - CALL_TIMEOUT_S)
+        return self.beats_to_send(caller, caller in self._differing_vms)
 
     def _note_difference(self, vm: str, mine: Digest, theirs: Digest) -> None:
         if mine.members_mark == theirs.members_mark:
-            self._differing.discard(vm)
+            self._differing_vms.discard(vm)
         else:
-            self._differing.add(vm)
+            self._differing_vms.add(vm)
 
-    async def _level(
+    async def _synchronise(
         self, vm: str, address: PeerAddress, theirs: Digest
     ) -> bool:
-        """Fetch and hand over what differs; say whether it worked."""
+        """Fetch and push what differs; return whether all calls worked."""
         mine = self._state.digest()
         self._note_difference(vm, mine, theirs)
         steps = []
         if theirs.version > mine.version:
             steps.append(self._fetch_version(vm, address))
         if theirs.version < mine.version:
-            steps.append(self._hand_over_version(address))
+            steps.append(self._push_version(address))
         if theirs.withdrawals_mark != mine.withdrawals_mark:
-            steps.append(self._level_withdrawals(vm, address))
+            steps.append(self._exchange_withdrawals(vm, address))
         if theirs.views_mark != mine.views_mark:
-            steps.append(self._level_views(vm, address))
+            steps.append(self._exchange_views(vm, address))
         return all(await gather(*steps))
 
     async def _fetch_version(self, vm: str, address: PeerAddress) -> bool:
@@ -253,55 +258,59 @@
         answer = await self._context.peers.call(
             address,
             lambda node: node.fleet().fleet.configuration(above=above),
-            BODY_CALL_S,
+            BODY_CALL_TIMEOUT_S,
         )
         if answer.is_error():
             return False
         copy = decode_version(answer.ok.configuration)
         if self._state.offer(copy) is OfferResult.TAKEN:
-            self.spread(self.came_from(vm), vm)
+            self.spread(self.origin_of(vm), vm)
         return True
 
-    async def _hand_over_version(self, address: PeerAddress) -> bool:
+    async def _push_version(self, address: PeerAddress) -> bool:
         copy = encode_version(self._state.configuration.current)
         answer = await self._context.peers.call(
             address,
             lambda node: node.fleet().fleet.accepted(configuration=copy),
-            BODY_CALL_S,
+            BODY_CALL_TIMEOUT_S,
         )
         return answer.is_ok()
 
-    async def _level_withdrawals(self, vm: str, address: PeerAddress) -> bool:
+    async def _exchange_withdrawals(
+        self, vm: str, address: PeerAddress
+    ) -> bool:
         known = encode_withdrawals(self._state.configuration.withdrawn)
         answer = await self._context.peers.call(
             address,
             lambda node: node.fleet().fleet.withdrawals(known=known),
-            CALL_S,
+            CALL_TIMEOUT_S,
         )
         if answer.is_error():
             return False
         if self._state.withdraw(decode_withdrawals(answer.ok.known)):
-            self.spread(self.came_from(vm), vm)
+            self.spread(self.origin_of(vm), vm)
         return True
 
-    async def _level_views(self, vm: str, address: PeerAddress) -> bool:
+    async def _exchange_views(self, vm: str, address: PeerAddress) -> bool:
         known = encode_views(self._state.views.by_group.values())
         answer = await self._context.peers.call(
             address,
             lambda node: node.fleet().fleet.views(known=known),
-            CALL_S,
+            CALL_TIMEOUT_S,
         )
         if answer.is_error():
             return False
         if self._state.observe_views(decode_views(answer.ok.known)):
-            self.spread(self.came_from(vm), vm)
+            self.spread(self.origin_of(vm), vm)
         return True
 
-    def _confirm(self, peer: Beat, digest: Digest, began_at: float) -> None:
-        """Take over what an exchange says about withdrawals.
+    def _note_confirmation(
+        self, peer: Beat, digest: Digest, began_at: float
+    ) -> None:
+        """Note until when an exchange confirms the known withdrawals.
 
-        Counted from before the call: what was withdrawn while it was
-        under way need not be in the answer.
+        The time counts from the start of the call: a key withdrawn while
+        the call was running need not be in the answer.
         """
         clock = self._state.confirmation
         if peer.data_centre != self._state.data_centre:
@@ -309,8 +318,8 @@
         if digest.confirmed_ms != MAX_AGE_MS:
             clock.note_relayed(began_at - from_age_ms(digest.confirmed_ms))
 
-    def came_from(self, vm: str) -> NewsOrigin:
-        """Say where news from a VM came from."""
+    def origin_of(self, vm: str) -> NewsOrigin:
+        """Return the origin of news that was received from a VM."""
         member = self._state.members.by_vm.get(vm)
         if member is None:
             return NewsOrigin.LOCAL
@@ -322,42 +331,42 @@
         )
 
     def announce(self, views: Iterable[GroupView]) -> None:
-        """Take in views of groups and tell everyone of new ones."""
+        """Merge views of groups and disseminate those that are new."""
         if self._state.observe_views(views):
             self.spread(NewsOrigin.LOCAL)
 
-    def spread(self, came: NewsOrigin, source: str = "") -> None:
-        """Tell whoever is to be told that there is news."""
-        self._context.spawn(self._spread(came, source))
+    def spread(self, origin: NewsOrigin, source: str = "") -> None:
+        """Start disseminating news to the recipients for its origin."""
+        self._context.spawn(self._spread(origin, source))
 
-    async def _spread(self, came: NewsOrigin, source: str) -> None:
-        asked: set[str] = set()
+    async def _spread(self, origin: NewsOrigin, source: str) -> None:
+        contacted: set[str] = set()
         while True:
-            told = select_recipients(
+            recipients = select_recipients(
                 self._state.members,
                 self._state.vm,
                 self._state.is_relay,
-                came,
+                origin,
                 source,
-                self.avoided(),
+                self.recently_failed(),
             )
-            fresh = [vm for vm in told if vm not in asked]
+            fresh = [vm for vm in recipients if vm not in contacted]
             if not fresh:
                 return
-            asked.update(fresh)
-            answered = await gather(*(self.exchange(vm) for vm in fresh))
-            for vm, heard in zip(fresh, answered):
-                if not heard:
-                    self._context.spawn(self._tell_again(vm))
+            contacted.update(fresh)
+            outcomes = await gather(*(self.exchange(vm) for vm in fresh))
+            for vm, answered in zip(fresh, outcomes):
+                if not answered:
+                    self._context.spawn(self._retry_exchange(vm))
 
-    async def _tell_again(self, vm: str) -> None:
-        """Repeat news to a VM that didn't answer.
+    async def _retry_exchange(self, vm: str) -> None:
+        """Retry the exchange with a VM that didn't answer.
 
-        It may have been paused or restarting; left to its next
-        heartbeat, it would stay behind for as long as that takes.
+        The VM may have been paused or restarting. Without a retry it
+        would stay out of date until its next heartbeat.
         """
-        for pause_s in TELL_AGAIN_S:
-            await sleep(pause_s)
+        for delay_s in RETRY_DELAYS_S:
+            await sleep(delay_s)
             member = self._state.members.by_vm.get(vm)
             if member is None or member.beat.gone:
                 return
@@ -369,10 +378,10 @@
         self._exchanges.labels("failed").inc()
         self._cursors.rewind(vm)
         self._failed_at_by_vm[vm] = now
-        self.unreached_since.setdefault(vm, now)
+        self.unreached_since_by_vm.setdefault(vm, now)
 
     def _note_success(self, vm: str) -> None:
         self._exchanges.labels("answered").inc()
         self._failed_at_by_vm.pop(vm, None)
         self.exchanged_at_by_vm[vm] = self._context.clock.now()
-        self.unreached_since.pop(vm, None)
+        self.unreached_since_by_vm.pop(vm, None)
--- a/redwingpost/agent/fleet.py
+++ b/redwingpost/agent/fleet.py
@@ -1,4 +1,4 @@
-"""The agent's part in the fleet: heartbeats, news, the relay's role."""
+"""The agent's fleet part: heartbeats, dissemination and the relay role."""
 
 from asyncio import gather
 from typing import Any
@@ -15,33 +15,35 @@
 from redwingpost.membership.relays import relay_of
 from redwingpost.membership.suspicion import BeatSchedule, mark_silent_members
 
-#: Seconds between two looks at what is due at the store.
+#: Seconds between two checks of what is due at the store.
 STORE_STEP_S = 0.5
 
-#: A relay that was in touch within this part of an interval needn't be
-#: called: of two relays one call a beat brings both level. The second in
-#: order of name calls only where the first has missed a beat, or both
-#: would call at the same moments for as long as they keep time.
-FIRST_RECENT_SHARE = 0.75
-SECOND_RECENT_SHARE = 1.75
-
-#: Relays of other data centres that a relay exchanges with each beat. At
-#: four data centres that is all of them, at 14 each in five beats.
+#: Heartbeat intervals after which a relay calls another one again. One
+#: exchange per interval synchronises both relays of a pair, so only one
+#: of them needs to call. The second in order of name calls only if the
+#: first has missed an interval; with equal limits both would call at the
+#: same moments for as long as their timers run in step.
+FIRST_RECENT_BEATS = 0.75
+SECOND_RECENT_BEATS = 1.75
+
+#: Relays of other data centres that a relay exchanges with per heartbeat
+#: interval. At four data centres that is all of them; at 14 each has its
+#: turn within five intervals.
 RELAYS_PER_BEAT = 3
 
-#: A gap between two of its own beats beyond this many intervals means
-#: that this process itself was paused.
+#: A gap between two own heartbeats of more than this many intervals means
+#: that this process was paused.
 PAUSED_BEATS = 2.0
 
 
 @AGENT_PARTS.register("fleet")
 class FleetPart(Service):
-    """Beats, spreads news, relays when it holds the role.
+    """Sends heartbeats, disseminates news and performs the relay role.
 
     Parameters
     ----------
     context : AgentContext
-        What the agent's parts share.
+        The agent's shared context.
     """
 
     def __init__(self, context: AgentContext, **kwargs: Any) -> None:
@@ -50,11 +52,11 @@
         self._state = context.state
         self.exchanger = Exchanger(context)
         self.store = StoreWatch(context, self.exchanger)
-        self._turn = 0
+        self._relay_turn = 0
         #: False lets a test end the agent as a crash would.
-        self.say_goodbye = True
-        self._beat_at = context.clock.now()
-        self._judging_since = context.clock.now()
+        self.announce_leaving = True
+        self._last_beat_at = context.clock.now()
+        self._detecting_since = context.clock.now()
         context.interfaces.fleet = FleetServer(context, self.exchanger)
         context.interfaces.local = LocalServer(context)
         context.announce = self.exchanger.announce
@@ -87,16 +89,16 @@
             gauge.set_function(read)
 
     async def on_start(self) -> None:
-        """Learn of the fleet before serving anyone."""
+        """Read the list of VMs and the configuration before serving."""
         await self.store.start()
 
     async def on_stop(self) -> None:
-        """Say goodbye, so that nobody waits for this VM."""
-        if not self.say_goodbye:
+        """Announce that this VM stops, so that others needn't detect it."""
+        if not self.announce_leaving:
             return
         self._state.stopping = True
-        self._state.beat_again()
-        await self.store.give_up()
+        self._state.renew_own_beat()
+        await self.store.release_lease()
         await self._beat()
 
     @Service.task
@@ -118,37 +120,40 @@
         return self._state.members.of_data_centre(self._state.data_centre)
 
     async def _beat(self) -> None:
-        self._notice_own_pause()
-        self._state.beat_again()
-        partners = self._partners()
+        self._detect_own_pause()
+        self._state.renew_own_beat()
+        partners = self._exchange_partners()
         await gather(*(self.exchanger.exchange(vm) for vm in partners))
         self._state.members.drop_gone_members(self._context.clock.now())
         if self._state.is_relay:
-            self._judge()
+            self._mark_silent_vms()
         else:
-            self._judging_since = self._context.clock.now()
+            self._detecting_since = self._context.clock.now()
+
+    def _detect_own_pause(self) -> None:
+        """Restart failure detection if this process was paused.
 
-    def _notice_own_pause(self) -> None:
-        """After a pause every other VM looks silent; start over."""
+        After a pause every other VM seems to have been silent.
+        """
         now = self._context.clock.now()
-        gap_s = now - self._beat_at
-        self._beat_at = now
+        gap_s = now - self._last_beat_at
+        self._last_beat_at = now
         if gap_s > PAUSED_BEATS * self._schedule().beat_s:
-            self._judging_since = now
+            self._detecting_since = now
 
-    def _partners(self) -> list[str]:
-        """Return whom to exchange with now."""
+    def _exchange_partners(self) -> list[str]:
+        """Return the VMs to exchange with in this interval."""
         elsewhere = self._relays_elsewhere()
         if self._state.is_relay:
-            return self._some(self._out_of_touch(elsewhere))
-        avoid = self.exchanger.avoided() | {self._state.vm}
+            return self._next_relays(self._without_recent_exchange(elsewhere))
+        avoid = self.exchanger.recently_failed() | {self._state.vm}
         relay = relay_of(self._state.data_centre, self._neighbours(), avoid)
         if relay:
             return [relay]
-        return self._some(elsewhere)
+        return self._next_relays(elsewhere)
 
     def _relays_elsewhere(self) -> list[str]:
-        members, avoid = self._state.members, self.exchanger.avoided()
+        members, avoid = self._state.members, self.exchanger.recently_failed()
         others = sorted(members.data_centres() - {self._state.data_centre})
         relays = (
             relay_of(other, members.of_data_centre(other), avoid)
@@ -157,34 +162,34 @@
         )
         return [relay for relay in relays if relay]
 
-    def _out_of_touch(self, vms: list[str]) -> list[str]:
-        return [vm for vm in vms if self._is_out_of_touch(vm)]
+    def _without_recent_exchange(self, vms: list[str]) -> list[str]:
+        return [vm for vm in vms if self._lacks_recent_exchange(vm)]
 
-    def _is_out_of_touch(self, vm: str) -> bool:
+    def _lacks_recent_exchange(self, vm: str) -> bool:
         at = self.exchanger.exchanged_at_by_vm.get(vm, float("-inf"))
-        first = self._state.vm < vm
-        share = FIRST_RECENT_SHARE if first else SECOND_RECENT_SHARE
+        is_first = self._state.vm < vm
+        limit_beats = FIRST_RECENT_BEATS if is_first else SECOND_RECENT_BEATS
         age_s = self._context.clock.now() - at
-        return age_s > share * self._schedule().beat_s
+        return age_s > limit_beats * self._schedule().beat_s
 
-    def _some(self, relays: list[str]) -> list[str]:
+    def _next_relays(self, relays: list[str]) -> list[str]:
         if not relays:
             return []
-        start = self._turn % len(relays)
-        self._turn += RELAYS_PER_BEAT
+        start = self._relay_turn % len(relays)
+        self._relay_turn += RELAYS_PER_BEAT
         count = min(RELAYS_PER_BEAT, len(relays))
         return (relays + relays)[start : start + count]
 
-    def _judge(self) -> None:
-        """Mark VMs of this data centre gone that nobody hears."""
+    def _mark_silent_vms(self) -> None:
+        """Mark silent VMs of this data centre as gone."""
         now, schedule = self._context.clock.now(), self._schedule()
-        if now - self._judging_since < schedule.gone_after_s:
+        if now - self._detecting_since < schedule.gone_after_s:
             return
         gone = mark_silent_members(
             self._neighbours(), self._state.vm, schedule, now
         )
         for beat in gone:
-            logger.warning("{} is silent and counts as gone", beat.vm)
+            logger.warning("{} sent no heartbeat and is marked gone", beat.vm)
             self._state.mark_gone(beat)
         if gone:
             self.exchanger.spread(NewsOrigin.LOCAL)
--- a/redwingpost/agent/interfaces.py
+++ b/redwingpost/agent/interfaces.py
@@ -1,4 +1,4 @@
-"""The interfaces that an agent serves: Fleet to agents, Local to its proxy."""
+"""The agent's RPC interfaces: Fleet for agents, Local for its own proxy."""
 
 from typing import Any
 
@@ -20,19 +20,20 @@
 from redwingpost.membership.dissemination import NewsOrigin
 from redwingpost.wire.schema import SCHEMA
 
-#: Longest wait of the feed (seconds), whatever the proxy asks for: the
-#: age of the key confirmation has to reach it now and then.
-LONGEST_FEED_S = 5.0
+#: Longest wait of the feed (seconds), even if the proxy requests a longer
+#: one: the proxy needs the age of the key confirmation regularly.
+MAX_FEED_WAIT_S = 5.0
 
 
-#: The proxy learns the ages of the other VMs every two seconds, and in
-#: a large fleet at 50 VMs a second: a tenth of a millisecond each.
-FASTEST_PEERS_S = 2.0
+#: The proxy is sent the ages of the other VMs every two seconds. In a
+#: large fleet the interval grows so that 50 VMs are sent per second, at a
+#: tenth of a millisecond each.
+MIN_PEERS_INTERVAL_S = 2.0
 PEERS_PER_S = 50.0
 
 
 class FleetServer(SCHEMA.Fleet.Server):
-    """Answers other agents and ``redwingctl``."""
+    """Serves other agents and ``redwingctl``."""
 
     def __init__(self, context: AgentContext, exchanger: Exchanger) -> None:
         self._context = context
@@ -42,7 +43,7 @@
     async def beat(
         self, beats: Any, digest: Any, _context: Any, **kwargs: Any
     ) -> None:
-        """Exchange heartbeats; the first is the caller's own."""
+        """Exchange heartbeats; the caller's own is the first."""
         theirs = decode_digest(digest)
         results = _context.results
         results.beats = self._exchanger.answer(beats, theirs)
@@ -51,7 +52,7 @@
     async def configuration(
         self, above: int, _context: Any, **kwargs: Any
     ) -> None:
-        """Hand out the version held, if it is above the caller's."""
+        """Return the current version if it is above the caller's."""
         current = self._state.configuration.current
         if current.version > above:
             _context.results.configuration = encode_version(current)
@@ -59,7 +60,7 @@
     async def withdrawals(
         self, known: Any, _context: Any, **kwargs: Any
     ) -> None:
-        """Union the caller's withdrawals in and answer with all."""
+        """Merge the caller's withdrawals and return all known ones."""
         if self._state.withdraw(decode_withdrawals(known)):
             self._spread(_context)
         _context.results.known = encode_withdrawals(
@@ -69,14 +70,14 @@
     async def accepted(
         self, configuration: Any, _context: Any, **kwargs: Any
     ) -> None:
-        """Take a version that was accepted."""
+        """Adopt an accepted configuration version."""
         offer = self._state.offer(decode_version(configuration))
         if offer is OfferResult.TAKEN:
             self._spread(_context)
 
     async def members(self, _context: Any, **kwargs: Any) -> None:
-        """Show all members, for operators; itself as it is now."""
-        self._state.beat_again()
+        """Return all members for operators, with a new own heartbeat."""
+        self._state.renew_own_beat()
         now = self._context.clock.now()
         results = _context.results
         results.beats = [
@@ -94,21 +95,21 @@
         )
 
     async def drain(self, vm: str, _context: Any, **kwargs: Any) -> None:
-        """Drain this VM's proxy; ``vm`` guards against a wrong address."""
+        """Drain this VM's proxy; ``vm`` protects from a wrong address."""
         if vm != self._state.vm:
             raise ValueError(f"this is {self._state.vm}, not {vm}")
         self._state.drain()
         self._exchanger.spread(NewsOrigin.LOCAL)
 
     def _spread(self, _context: Any) -> None:
-        # Who called isn't known at this level. Told as if it had arisen
-        # here, news reaches everyone; those who know already answer with
-        # equal digests.
+        # The caller isn't known at this level. News of local origin is
+        # sent to everyone; VMs that already have it answer with equal
+        # digests.
         self._exchanger.spread(NewsOrigin.LOCAL)
 
 
 class LocalServer(SCHEMA.Local.Server):
-    """Answers the proxy of the same VM."""
+    """Serves the proxy of the same VM."""
 
     def __init__(self, context: AgentContext) -> None:
         self._context = context
@@ -118,40 +119,40 @@
     async def feed(
         self, revision: int, waitMs: int, _context: Any, **kwargs: Any
     ) -> None:
-        """Answer with what changed after ``revision``, or after a wait."""
+        """Return what changed after ``revision``, waiting for a change."""
         state = self._state
-        state.proxy_polls(revision)
-        timeout = min(waitMs / 1000.0, LONGEST_FEED_S)
-        await state.wait_beyond(revision, timeout)
+        state.record_proxy_poll(revision)
+        timeout = min(waitMs / 1000.0, MAX_FEED_WAIT_S)
+        await state.wait_for_change(revision, timeout)
         feed = _context.results.init("feed")
         self._fill(feed, revision)
 
     def _fill(self, feed: Any, revision: int) -> None:
         state = self._state
-        if state.is_news("configuration", revision):
+        if state.has_changed_since("configuration", revision):
             feed.configuration = encode_version(state.configuration.current)
-        if state.is_news("withdrawals", revision):
+        if state.has_changed_since("withdrawals", revision):
             feed.withdrawals = encode_withdrawals(
                 state.configuration.withdrawn
             )
-        if state.is_news("views", revision):
+        if state.has_changed_since("views", revision):
             feed.views = encode_views(state.views.by_group.values())
-        if state.is_news("peers", revision) or self._peers_are_old():
+        if state.has_changed_since("peers", revision) or self._peers_are_due():
             feed.peers = self._peers()
-        if state.is_news("shares", revision):
+        if state.has_changed_since("shares", revision):
             feed.shares = self._shares()
         feed.draining = state.draining
         feed.confirmedMs = to_age_ms(state.confirmed_age_s())
         feed.revision = state.revision
 
-    def _peers_are_old(self) -> bool:
-        """Say whether the proxy should learn the peers' ages anew."""
+    def _peers_are_due(self) -> bool:
+        """Return whether to send the proxy the peers' ages again."""
         every_s = len(self._state.members.by_vm) / PEERS_PER_S
         age_s = self._context.clock.now() - self._peers_sent_at
-        return age_s >= max(FASTEST_PEERS_S, every_s)
+        return age_s >= max(MIN_PEERS_INTERVAL_S, every_s)
 
     def _peers(self) -> list[dict[str, Any]]:
-        """Return the other VMs that are not gone, with their ages."""
+        """Return the other live VMs with the ages of their heartbeats."""
         now = self._context.clock.now()
         self._peers_sent_at = now
         return [
@@ -183,8 +184,8 @@
         _context: Any,
         **kwargs: Any,
     ) -> None:
-        """Take in what the proxy sees: suspect members, demand."""
+        """Record the proxy's suspect members and active organisations."""
         if not ready and not connections:
-            self._state.proxy_left()
+            self._state.record_proxy_stop()
         self._state.suspects = frozenset(suspects)
         self._state.active_organisations = frozenset(activeOrganisations)
--- a/redwingpost/agent/observer.py
+++ b/redwingpost/agent/observer.py
@@ -1,4 +1,4 @@
-"""Watch the groups that fall to this VM, and tell other observers."""
+"""Probe the groups that this VM observes, and report to other observers."""
 
 from typing import Any
 
@@ -22,7 +22,7 @@
 
 
 class GroupWatch:
-    """One watched group: its probes and who else watches it."""
+    """One observed group: its probes and its other observers."""
 
     def __init__(self, group: str) -> None:
         self.group = group
@@ -36,11 +36,11 @@
         return tuple(self.probes_by_member)
 
     def address(self, member: str) -> MemberAddress:
-        """Return where a member listens."""
+        """Return a member's address."""
         return self.probes_by_member[member].address
 
     def statuses(self, within_s: float) -> tuple[MemberStatus, ...]:
-        """Return the statuses of members that answered lately."""
+        """Return statuses of members that answered within ``within_s``."""
         return tuple(
             probe.status
             for probe in self.probes_by_member.values()
@@ -49,14 +49,14 @@
 
     def report(self, vm: str, data_centre: str) -> Report:
         """Return this observer's own report."""
-        sightings = tuple(
-            probe.sighting() for probe in self.probes_by_member.values()
+        observations = tuple(
+            probe.observation() for probe in self.probes_by_member.values()
         )
-        return Report(vm, data_centre, sightings)
+        return Report(vm, data_centre, observations)
 
 
 class WatchServer(SCHEMA.Watch.Server):
-    """Answers other observers."""
+    """Serves other observers."""
 
     def __init__(self, observer: "ObserverPart") -> None:
         self._observer = observer
@@ -64,7 +64,7 @@
     async def observations(
         self, group: str, _context: Any, **kwargs: Any
     ) -> None:
-        """Tell what this VM sees of a group's members."""
+        """Return this VM's observations of a group's members."""
         results = _context.results
         results.vm = self._observer.vm
         results.dataCentre = self._observer.data_centre
@@ -74,17 +74,17 @@
         report = watch.report(self._observer.vm, self._observer.data_centre)
         results.seen = [
             {
-                "member": sighting.member,
-                "silentMs": to_age_ms(sighting.silent_s),
-                "term": sighting.term,
-                "role": "primary" if sighting.leads else "replica",
-                "ageMs": min(MAX_AGE_MS, to_age_ms(sighting.age_s)),
+                "member": observation.member,
+                "silentMs": to_age_ms(observation.silent_s),
+                "term": observation.term,
+                "role": "primary" if observation.leads else "replica",
+                "ageMs": min(MAX_AGE_MS, to_age_ms(observation.age_s)),
             }
-            for sighting in report.observations
+            for observation in report.observations
         ]
 
     async def announce(self, views: Any, _context: Any, **kwargs: Any) -> None:
-        """Take in views of groups."""
+        """Merge views of groups."""
         self._observer.context.state.observe_views(decode_views(views))
 
 
@@ -95,7 +95,7 @@
     Parameters
     ----------
     context : AgentContext
-        What the agent's parts share.
+        The agent's shared context.
     """
 
     def __init__(self, context: AgentContext, **kwargs: Any) -> None:
@@ -106,7 +106,7 @@
         self.watches_by_group: dict[str, GroupWatch] = {}
         targets = context.settings.targets
         self._dialler = MySQLTargetDialler(targets.user, targets.password)
-        self._chosen_for: tuple = ()
+        self._observers_chosen_for: tuple = ()
         self.promoter = Promoter(context, self.watches_by_group)
         context.interfaces.watch = WatchServer(self)
         gauge = Gauge(
@@ -117,7 +117,7 @@
         gauge.set_function(lambda: len(self.watches_by_group))
 
     async def on_stop(self) -> None:
-        """End the probes and promotions."""
+        """Cancel the promotions and probes."""
         await self.promoter.close()
         for watch in self.watches_by_group.values():
             for probe in watch.probes_by_member.values():
@@ -130,7 +130,7 @@
             for watch in self.watches_by_group.values():
                 for probe in watch.probes_by_member.values():
                     probe.tick()
-                self.promoter.consider(watch)
+                self.promoter.evaluate(watch)
             await self.sleep(PROBE_INTERVAL_S)
 
     def _vms(self) -> list[VmAddress]:
@@ -149,10 +149,10 @@
         ]
 
     async def _refresh(self) -> None:
-        """Follow the configuration and the list of VMs.
+        """Adjust the watches to the configuration and the list of VMs.
 
-        Choosing is work for every group, watched or not, so it is done
-        only when something has changed.
+        Observers are chosen for every group, observed here or not, so it
+        is done only when something has changed.
         """
         configuration = self.context.state.configuration.configuration
         if configuration is None:
@@ -160,9 +160,9 @@
         vms = self._vms()
         version = self.context.state.configuration.version
         names = tuple((vm.vm, vm.ip, vm.agent_port) for vm in vms)
-        if self._chosen_for == (version, names):
+        if self._observers_chosen_for == (version, names):
             return
-        self._chosen_for = (version, names)
+        self._observers_chosen_for = (version, names)
         for name, group in configuration.groups_by_name.items():
             observers = choose_observers(name, vms)
             if any(observer.vm == self.vm for observer in observers):
@@ -171,15 +171,15 @@
                 )
                 watch.observers = observers
                 watch.leaving = configuration.draining_members
-                await self._set_members(watch, group)
+                await self._update_probes(watch, group)
             else:
-                await self._forget(name)
+                await self._stop_watching(name)
         for name in set(self.watches_by_group) - set(
             configuration.groups_by_name
         ):
-            await self._forget(name)
+            await self._stop_watching(name)
 
-    async def _set_members(self, watch: GroupWatch, group: Group) -> None:
+    async def _update_probes(self, watch: GroupWatch, group: Group) -> None:
         probes = watch.probes_by_member
         for member, address in group.members_by_name.items():
             known = probes.get(member)
@@ -193,7 +193,7 @@
         for member in set(probes) - set(group.members_by_name):
             await probes.pop(member).close()
 
-    async def _forget(self, group: str) -> None:
+    async def _stop_watching(self, group: str) -> None:
         watch = self.watches_by_group.pop(group, None)
         if watch is not None:
             for probe in watch.probes_by_member.values():
--- a/redwingpost/agent/parts.py
+++ b/redwingpost/agent/parts.py
@@ -1,4 +1,4 @@
-"""Import the modules that register parts of the agent."""
+"""Import the modules that register the agent's parts."""
 
 from importlib import import_module
 
--- a/redwingpost/agent/probe.py
+++ b/redwingpost/agent/probe.py
@@ -18,22 +18,22 @@
     leads,
 )
 
-#: Seconds a probe may take; a member that needs longer is silent by
-#: every rule of ``redwingpost.promotion.detection``.
+#: Time-out of a probe (seconds). A member that takes longer counts as
+#: silent by every rule of ``redwingpost.promotion.detection``.
 PROBE_TIMEOUT_S = 1.0
 
-#: Probes under way at once: the ordinary one and one on a connection of
-#: its own, and a third while the first two wait out their time.
-_PROBES = 3
+#: Concurrent probes: the ordinary one, one on a new connection, and a
+#: third while the first two wait for their time-outs.
+_MAX_PROBES = 3
 
 
 class MemberProbe:
-    """What one observer knows of one member.
+    """Probes one member and keeps its last status.
 
     Parameters
     ----------
     address : MemberAddress
-        The member.
+        The member's name and address.
     dialler : TargetDialler
         Opens control connections.
     clock : Clock
@@ -53,11 +53,11 @@
         self._tasks: set[Task] = set()
 
     def silent_s(self) -> float:
-        """Return for how long the member has not answered, in seconds."""
+        """Return how long the member has not answered (seconds)."""
         return self._meter.silent_s(self._clock.now())
 
-    def sighting(self) -> MemberObservation:
-        """Return what there is to tell other observers."""
+    def observation(self) -> MemberObservation:
+        """Return the observation to report to other observers."""
         status = self.status
         if status is None:
             return MemberObservation(self.address.member, self.silent_s())
@@ -70,15 +70,15 @@
         )
 
     def tick(self) -> None:
-        """Send a probe unless enough of them are under way.
+        """Start a probe unless enough of them are running.
 
-        While one hangs, another goes over a new connection: the first
-        may only be stuck behind TCP's retransmission timer.
+        While one hangs, another uses a new connection: the first may
+        only be waiting for TCP's retransmission timer.
         """
         now = self._clock.now()
         self._meter.tick(now)
         waited = now - self._started_at >= FRESH_CONNECTION_S
-        if not self._tasks or (waited and len(self._tasks) < _PROBES):
+        if not self._tasks or (waited and len(self._tasks) < _MAX_PROBES):
             self._started_at = now
             task = create_task(self._probe())
             self._tasks.add(task)
@@ -94,23 +94,23 @@
                 await connection.close()
             return
         self._meter.answered(self._clock.now())
-        await self.give_back(connection)
+        await self.return_connection(connection)
 
     async def take_connection(self) -> Any:
-        """Return a control connection for the caller's sole use."""
+        """Return a control connection for the caller's exclusive use."""
         idle, self._idle = self._idle, None
         if idle is not None and idle.usable:
             return idle
         return await self._dialler.dial(self.address, PROBE_TIMEOUT_S)
 
-    async def give_back(self, connection: Any) -> None:
-        """Keep one connection idle; the newest is the likeliest to live."""
+    async def return_connection(self, connection: Any) -> None:
+        """Keep the newest connection idle: it is least likely to be dead."""
         if self._idle is not None:
             await self._idle.close()
         self._idle = connection
 
     async def close(self) -> None:
-        """End the probes."""
+        """Cancel the probes and close the idle connection."""
         for task in tuple(self._tasks):
             task.cancel()
         if self._idle is not None:
--- a/redwingpost/agent/promoter.py
+++ b/redwingpost/agent/promoter.py
@@ -1,4 +1,4 @@
-"""Order promotions, tell views, bring members back in line."""
+"""Order promotions, publish views and make members follow the primary."""
 
 from asyncio import Task, create_task, gather
 from collections.abc import Coroutine, Mapping
@@ -9,7 +9,7 @@
 from prometheus_client import Counter
 
 from redwingpost.adapters.peer import PeerAddress
-from redwingpost.agent.conduct import Conductor, send_follow
+from redwingpost.agent.promotion_runner import PromotionRunner, send_follow
 from redwingpost.agent.context import AgentContext
 from redwingpost.agent.diverged import DivergenceReporter
 from redwingpost.core import GroupView, VmAddress
@@ -37,24 +37,25 @@
 )
 from redwingpost.wire.codec import from_age_ms
 
-#: Seconds for another observer's answer; one that needs longer is cut
-#: off or overloaded, and its word is not waited for.
+#: Time-out of another observer's report (seconds). An observer that takes
+#: longer is unreachable or overloaded, and its report is left out.
 REPORT_TIMEOUT_S = 0.25
 
-#: Seconds between two orders to follow to the same member.
-FOLLOW_PAUSE_S = 0.5
+#: Seconds between two orders to follow for the same member.
+FOLLOW_INTERVAL_S = 0.5
 
-#: Seconds between one observer's turn to give that order and the next's.
-FOLLOW_TURN_S = 0.6
+#: Seconds by which each observer waits longer than the one ranked before
+#: it until it gives that order.
+FOLLOW_RANK_DELAY_S = 0.6
 
-#: Seconds of silence that keep a status from being acted upon.
-_FRESH_S = 0.45
+#: Seconds without an answer after which a member's status is not used.
+_MAX_STATUS_AGE_S = 0.45
 
-#: Seconds after which a suspicion that nobody renewed is over.
-_SUSPICION_S = 0.6
+#: Seconds after which a suspicion that was not renewed ends.
+_SUSPICION_TIMEOUT_S = 0.6
 
-#: Diagnoses that ask for a promotion.
-_ORDERING = {
+#: Diagnoses that require a promotion.
+_PROMOTING_DIAGNOSES = {
     Diagnosis.PRIMARY_LOST,
     Diagnosis.LEADERLESS,
     Diagnosis.STRANDED,
@@ -64,31 +65,31 @@
 
 
 class _GroupState:
-    """What the promoter keeps of one group."""
+    """The promoter's state of one group."""
 
     def __init__(self) -> None:
         self.leaderless_since: float | None = None
         self.suspected_since: float | None = None
         self.suspected_at = float("-inf")
-        self.quiet_until = float("-inf")
+        self.backoff_until = float("-inf")
         self.failures = 0
         self.followed_at_by_member: dict[str, float] = {}
-        self.astray_since_by_member: dict[str, float] = {}
+        self.not_following_since_by_member: dict[str, float] = {}
         self.replication = ReplicationMeter()
-        self.work: Task | None = None
+        self.task: Task | None = None
 
 
 class Promoter:
-    """Judges the watched groups and acts on it.
+    """Diagnoses the observed groups and orders promotions.
 
     Parameters
     ----------
     context : AgentContext
-        What the agent's parts share.
+        The agent's shared context.
     watches_by_group : mapping
         The observer's watches.
     random : Random, optional
-        For jitter.
+        Source of the back-off's jitter.
     """
 
     def __init__(
@@ -111,7 +112,7 @@
             ["outcome"],
             registry=registry,
         )
-        self._verdicts = Counter(
+        self._suspicions = Counter(
             "redwing_primary_suspicions",
             "Judgements of a silent primary, by verdict.",
             ["verdict"],
@@ -119,29 +120,29 @@
         )
 
     async def close(self) -> None:
-        """End what is under way."""
+        """Cancel the running tasks."""
         for task in tuple(self._tasks):
             task.cancel()
         await gather(*self._tasks, return_exceptions=True)
 
-    def consider(self, watch: Any) -> None:
-        """Look at a group; called at each round of probes."""
+    def evaluate(self, watch: Any) -> None:
+        """Evaluate a group's statuses; called at each round of probes."""
         state = self._states_by_group.setdefault(watch.group, _GroupState())
-        statuses = watch.statuses(_FRESH_S)
+        statuses = watch.statuses(_MAX_STATUS_AGE_S)
         self._publish_leader(watch.group, statuses)
-        self._bring_in_line(watch, state, statuses)
+        self._order_follows(watch, state, statuses)
         self._time_leaderless(watch, state)
         self._time_replication(watch, state, statuses)
         now = self._context.clock.now()
-        if state.work is not None or now < state.quiet_until:
+        if state.task is not None or now < state.backoff_until:
             return
-        if self._looks_bad(watch, state):
-            state.work = self._spawn(self._judge(watch, state))
-        elif now - state.suspected_at > _SUSPICION_S:
+        if self._suspects_failure(watch, state):
+            state.task = self._spawn(self._confirm_and_promote(watch, state))
+        elif now - state.suspected_at > _SUSPICION_TIMEOUT_S:
             state.suspected_since = None
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> Task:
-        task = create_task(work)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> Task:
+        task = create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
@@ -152,7 +153,7 @@
     def _publish_leader(
         self, group: str, statuses: tuple[MemberStatus, ...]
     ) -> None:
-        """Tell everyone of a primary whose promotion went untold."""
+        """Announce a primary whose promotion was not announced."""
         leader = leader_of(statuses)
         if leader is None:
             return
@@ -162,7 +163,7 @@
             view = GroupView(group, term, leader.member, leader.history)
             self._context.announce([view])
 
-    def _bring_in_line(
+    def _order_follows(
         self,
         watch: Any,
         state: _GroupState,
@@ -172,30 +173,34 @@
         if leader is None:
             return
         now = self._context.clock.now()
-        astray = {status.member: status for status in must_follow(statuses)}
-        for member in set(state.astray_since_by_member) - set(astray):
-            del state.astray_since_by_member[member]
-        for member, status in astray.items():
-            since = state.astray_since_by_member.setdefault(member, now)
+        not_following = {
+            status.member: status for status in must_follow(statuses)
+        }
+        for member in set(state.not_following_since_by_member) - set(
+            not_following
+        ):
+            del state.not_following_since_by_member[member]
+        for member, status in not_following.items():
+            since = state.not_following_since_by_member.setdefault(member, now)
             last = state.followed_at_by_member.get(member, float("-inf"))
-            if now - since < self._turn_s(watch):
+            if now - since < self._rank_delay_s(watch):
                 continue
-            if now - last >= FOLLOW_PAUSE_S:
+            if now - last >= FOLLOW_INTERVAL_S:
                 state.followed_at_by_member[member] = now
                 self._spawn(self._follow(watch, status, leader))
-        if self._turn_s(watch) == 0.0:
-            self._diverged.watch(watch, statuses, self._spawn)
+        if self._rank_delay_s(watch) == 0.0:
+            self._diverged.check_replicas(watch, statuses, self._spawn)
 
-    def _turn_s(self, watch: Any) -> float:
-        """Return after how long this observer does what the first does.
+    def _rank_delay_s(self, watch: Any) -> float:
+        """Return how long this observer waits for those ranked before it.
 
-        The first may have died with the primary, and it takes seconds
-        until the fleet takes it for gone.
+        The first may have failed together with the primary, and it takes
+        seconds until the fleet marks it gone.
         """
         own = self._context.settings.vm.name
         names = [observer.vm for observer in watch.observers]
         rank = names.index(own) if own in names else len(names)
-        return rank * FOLLOW_TURN_S
+        return rank * FOLLOW_RANK_DELAY_S
 
     async def _follow(
         self, watch: Any, status: MemberStatus, leader: MemberStatus
@@ -205,7 +210,7 @@
         primary = watch.address(leader.member)
         accepted = await send_follow(probe, term, primary)
         logger.info(
-            "told {} to follow {} in term {}: {}",
+            "ordered {} to follow {} in term {}: {}",
             status.member,
             leader.member,
             term,
@@ -213,7 +218,7 @@
         )
 
     def _time_leaderless(self, watch: Any, state: _GroupState) -> None:
-        if has_leader(self._own(watch).observations):
+        if has_leader(self._own_report(watch).observations):
             state.leaderless_since = None
         elif state.leaderless_since is None:
             state.leaderless_since = self._context.clock.now()
@@ -233,73 +238,87 @@
             if status.follows == leader.member
             and status.promised_term == last_log_term(leader)
         )
-        whole = len(following) == len(watch.members) - 1
+        is_complete = len(following) == len(watch.members) - 1
         state.replication.observe(
             leader.received,
-            following if whole else (),
+            following if is_complete else (),
             self._context.clock.now(),
         )
 
-    def _own(self, watch: Any) -> Report:
+    def _own_report(self, watch: Any) -> Report:
         vm = self._context.settings.vm
         return watch.report(vm.name, vm.data_centre)
 
-    def _looks_bad(self, watch: Any, state: _GroupState) -> bool:
-        """Say whether this observer's own view is worth asking others."""
+    def _suspects_failure(self, watch: Any, state: _GroupState) -> bool:
+        """Return whether to fetch the other observers' reports."""
         view = self._view(watch.group)
         if view is None or view.primary not in watch.probes_by_member:
             return False
         probe = watch.probes_by_member[view.primary]
         if probe.silent_s() >= SILENCE_S:
             return True
-        return self._judge_answering(watch, state) in _ORDERING
+        return (
+            self._diagnose_answering_primary(watch, state)
+            in _PROMOTING_DIAGNOSES
+        )
 
-    def _judge_answering(self, watch: Any, state: _GroupState) -> Diagnosis:
-        """Judge a group whose primary answers."""
-        sightings = self._own(watch).observations
+    def _diagnose_answering_primary(
+        self, watch: Any, state: _GroupState
+    ) -> Diagnosis:
+        """Diagnose a group whose primary answers."""
+        observations = self._own_report(watch).observations
         now = self._context.clock.now()
         since = state.leaderless_since
         leaderless_s = 0.0 if since is None else now - since
-        verdict = diagnose_leadership(watch.members, sightings, leaderless_s)
-        if verdict is not Diagnosis.HEALTHY:
-            return verdict
+        diagnosis = diagnose_leadership(
+            watch.members, observations, leaderless_s
+        )
+        if diagnosis is not Diagnosis.HEALTHY:
+            return diagnosis
         if state.replication.stalled_s(now) >= ISOLATED_S:
             return Diagnosis.ISOLATED
         view = self._view(watch.group)
         return diagnose_drain(
-            view.primary, watch.members, watch.leaving, sightings
+            view.primary, watch.members, watch.leaving, observations
         )
 
-    async def _judge(self, watch: Any, state: _GroupState) -> None:
+    async def _confirm_and_promote(
+        self, watch: Any, state: _GroupState
+    ) -> None:
         try:
             reports = await self._gather_reports(watch)
-            verdict = self._verdict(watch, state, reports)
-            self._verdicts.labels(verdict.value).inc()
-            if verdict in _ORDERING:
-                await self._perhaps_promote(watch, state, reports, verdict)
+            diagnosis = self._diagnose(watch, state, reports)
+            self._suspicions.labels(diagnosis.value).inc()
+            if diagnosis in _PROMOTING_DIAGNOSES:
+                await self._promote_if_due(watch, state, reports, diagnosis)
         finally:
-            state.work = None
+            state.task = None
 
-    def _verdict(
+    def _diagnose(
         self, watch: Any, state: _GroupState, reports: list[Report]
     ) -> Diagnosis:
         view = self._view(watch.group)
         data_centres = {vm.data_centre for vm in watch.observers}
-        verdict = diagnose_primary(
+        diagnosis = diagnose_primary(
             view.primary, watch.members, reports, len(data_centres)
         )
-        if verdict is Diagnosis.HEALTHY:
-            return self._judge_answering(watch, state)
-        return verdict
+        if diagnosis is Diagnosis.HEALTHY:
+            return self._diagnose_answering_primary(watch, state)
+        return diagnosis
 
     async def _gather_reports(self, watch: Any) -> list[Report]:
         own_name = self._context.settings.vm.name
         others = [vm for vm in watch.observers if vm.vm != own_name]
-        answers = await gather(*(self._ask(vm, watch.group) for vm in others))
-        # The own report is made last, so that it is as fresh as theirs.
-        return [self._own(watch), *(a for a in answers if a is not None)]
+        answers = await gather(
+            *(self._fetch_report(vm, watch.group) for vm in others)
+        )
+        # The own report is made last, so that it is as fresh as the others.
+        return [
+            self._own_report(watch),
+            *(a for a in answers if a is not None),
+        ]
 
-    async def _ask(self, vm: VmAddress, group: str) -> Report | None:
+    async def _fetch_report(self, vm: VmAddress, group: str) -> Report | None:
         answer = await self._context.peers.call(
             PeerAddress(vm.ip, vm.agent_port),
             lambda node: node.watch().watch.observations(group),
@@ -307,7 +326,7 @@
         )
         if answer.is_error() or not len(answer.ok.seen):
             return None
-        sightings = tuple(
+        observations = tuple(
             MemberObservation(
                 seen.member,
                 from_age_ms(seen.silentMs),
@@ -317,14 +336,14 @@
             )
             for seen in answer.ok.seen
         )
-        return Report(answer.ok.vm, answer.ok.dataCentre, sightings)
+        return Report(answer.ok.vm, answer.ok.dataCentre, observations)
 
-    async def _perhaps_promote(
+    async def _promote_if_due(
         self,
         watch: Any,
         state: _GroupState,
         reports: list[Report],
-        verdict: Diagnosis,
+        diagnosis: Diagnosis,
     ) -> None:
         now = self._context.clock.now()
         state.suspected_at = now
@@ -332,22 +351,22 @@
             state.suspected_since = now
         rank = self._rank(watch, reports)
         if may_propose(rank, now - state.suspected_since):
-            await self._promote(watch, state, verdict)
+            await self._promote(watch, state, diagnosis)
 
     async def promote_now(self, watch: Any) -> None:
-        """Conduct one promotion, whoever leads and whose turn it is."""
+        """Run one promotion regardless of the primary and of the rank."""
         state = self._states_by_group.setdefault(watch.group, _GroupState())
         await self._promote(watch, state, Diagnosis.LEADERLESS)
 
     def _rank(self, watch: Any, reports: list[Report]) -> int:
-        """Return this VM's rank among the observers that answer."""
+        """Return this VM's rank among the observers that reported."""
         answering = {report.observer for report in reports}
         ranked = [vm.vm for vm in watch.observers if vm.vm in answering]
         name = self._context.settings.vm.name
         return ranked.index(name) if name in ranked else len(ranked)
 
     async def _promote(
-        self, watch: Any, state: _GroupState, verdict: Diagnosis
+        self, watch: Any, state: _GroupState, diagnosis: Diagnosis
     ) -> None:
         vm = self._context.settings.vm.name
         self._elections += 1
@@ -358,27 +377,29 @@
         logger.warning(
             "{}: {}; claiming term {} as {}",
             watch.group,
-            verdict.value,
+            diagnosis.value,
             term,
             claimant,
         )
-        conductor = Conductor(
+        runner = PromotionRunner(
             watch.group,
             claimant,
             watch.probes_by_member,
             lambda view: self._context.announce([view]),
         )
         leaving = watch.leaving
-        if verdict is Diagnosis.ISOLATED:
-            # Ahead of the others by what nobody confirmed, it would be
-            # chosen again, and nothing would have changed.
+        if diagnosis is Diagnosis.ISOLATED:
+            # The isolated primary has unconfirmed entries that the others
+            # lack, so the election would choose it again.
             leaving = leaving | {old.primary}
-        ended = await conductor.run(self._candidates(watch, leaving), term)
-        if isinstance(ended, Abort):
-            self._note_failure(watch.group, state, ended)
+        outcome = await runner.run(self._candidates(watch, leaving), term)
+        if isinstance(outcome, Abort):
+            self._note_failure(watch.group, state, outcome)
             return
-        self._note_success(watch.group, state, ended)
-        self._spawn(self._audit(old, watch.group, ended, claimant, verdict))
+        self._note_success(watch.group, state, outcome)
+        self._spawn(
+            self._audit(old, watch.group, outcome, claimant, diagnosis)
+        )
 
     def _known_terms(self, watch: Any) -> tuple[int, ...]:
         view = self._view(watch.group)
@@ -404,16 +425,16 @@
         )
 
     def _note_failure(
-        self, group: str, state: _GroupState, ended: Abort
+        self, group: str, state: _GroupState, outcome: Abort
     ) -> None:
         self._promotions.labels("gave up").inc()
-        pause = backoff_s(state.failures, self._random.random())
+        backoff = backoff_s(state.failures, self._random.random())
         state.failures += 1
-        state.quiet_until = self._context.clock.now() + pause
-        logger.warning("{}: gave up: {}", group, ended.reason)
+        state.backoff_until = self._context.clock.now() + backoff
+        logger.warning("{}: promotion aborted: {}", group, outcome.reason)
 
     def _note_success(
-        self, group: str, state: _GroupState, ended: Announce
+        self, group: str, state: _GroupState, outcome: Announce
     ) -> None:
         self._promotions.labels("done").inc()
         state.failures = 0
@@ -421,33 +442,35 @@
         state.leaderless_since = None
         state.replication = ReplicationMeter()
         logger.warning(
-            "{}: {} leads term {} from {}",
+            "{}: {} is the primary of term {} from {}",
             group,
-            ended.primary,
-            ended.term,
-            ended.start,
+            outcome.primary,
+            outcome.term,
+            outcome.start,
         )
 
     async def _audit(
         self,
         old: GroupView | None,
         group: str,
-        ended: Announce,
+        outcome: Announce,
         claimant: str,
-        verdict: Diagnosis,
+        diagnosis: Diagnosis,
     ) -> None:
-        """Leave a row where the store can be reached; nothing waits."""
-        key = f"{group}/{ended.term:012d}"
+        """Write an audit row if the store is available; not awaited."""
+        key = f"{group}/{outcome.term:012d}"
         row = {
             "who": claimant,
-            "why": verdict.value,
+            "why": diagnosis.value,
             "from": old.primary if old is not None else "",
-            "to": ended.primary,
-            "start": str(ended.start),
+            "to": outcome.primary,
+            "start": str(outcome.start),
         }
         written = await self._context.tables.transact(
             (Condition("promotions", key, 0),),
             (Write("promotions", key, row),),
         )
         if written.is_error():
-            logger.warning("{}: no audit row: {}", group, written.error)
+            logger.warning(
+                "{}: audit row not written: {}", group, written.error
+            )
--- a/redwingpost/agent/conduct.py
+++ b/redwingpost/agent/promotion_runner.py
@@ -1,4 +1,4 @@
-"""Carry out one promotion: the election's commands over connections."""
+"""Carry out one promotion: send the election's commands to the members."""
 
 from asyncio import Queue, Task, create_task, sleep
 from collections.abc import Callable, Coroutine, Mapping
@@ -27,27 +27,27 @@
     step,
 )
 
-#: Seconds for one claim and for one order to follow; the election's own
-#: timers are shorter or end it.
+#: Time-out (seconds) of one claim and of one order to follow. The
+#: election's own timers are shorter or end the election.
 CONTROL_TIMEOUT_S = 1.0
 
-#: Seconds for a promotion; the election's timer gives up before it.
+#: Time-out (seconds) of a promotion; the election's timer expires first.
 PROMOTE_TIMEOUT_S = 12.0
 
 
-class Conductor:
-    """Runs one election against real members.
+class PromotionRunner:
+    """Runs one election over control connections to the members.
 
     Parameters
     ----------
     group : str
         The database group.
     claimant : str
-        A name that no other election ever uses.
+        Identifier of this election, never used by another one.
     probes_by_member : mapping
-        Control connections are taken from the probes.
+        Probes, whose control connections are used.
     publish : callable
-        Given the view of the new primary.
+        Called with the view that names the new primary.
     """
 
     def __init__(
@@ -67,25 +67,25 @@
     async def run(
         self, candidates: tuple[Candidate, ...], term: int
     ) -> Announce | Abort:
-        """Run the election to its end."""
+        """Run the election and return the command that ended it."""
         election, commands = start(candidates, term)
         try:
             while True:
                 for command in commands:
-                    self._carry_out(command)
-                ended = [
+                    self._execute(command)
+                final = [
                     c for c in commands if isinstance(c, Announce | Abort)
                 ]
-                if ended:
-                    await self._finish_follows(commands)
-                    return ended[0]
+                if final:
+                    await self._send_follows(commands)
+                    return final[0]
                 event = await self._events.get()
                 election, commands = step(election, event)
         finally:
             for task in tuple(self._tasks):
                 task.cancel()
 
-    def _carry_out(self, command: Command) -> None:
+    def _execute(self, command: Command) -> None:
         if isinstance(command, SendClaim):
             self._spawn(self._claim(command))
         elif isinstance(command, SendPromote):
@@ -93,8 +93,8 @@
         elif isinstance(command, StartTimer):
             self._spawn(self._wait(command))
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = create_task(work)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -112,7 +112,7 @@
         except (TargetError, TargetLost):
             await self._events.put(MemberFailed(command.member))
             return
-        await probe.give_back(connection)
+        await probe.return_connection(connection)
         await self._events.put(
             ClaimAnswer(
                 command.member,
@@ -132,10 +132,10 @@
             )
             status = await connection.status(CONTROL_TIMEOUT_S)
         except (TargetError, TargetLost) as lost:
-            logger.warning("promotion of {}: {}", command.member, lost)
+            logger.warning("promotion of {} failed: {}", command.member, lost)
             await self._events.put(PromoteAnswer(command.member, False))
             return
-        await probe.give_back(connection)
+        await probe.return_connection(connection)
         if answer.ok:
             self._publish(
                 GroupView(
@@ -146,12 +146,12 @@
             PromoteAnswer(command.member, answer.ok, answer.first)
         )
 
-    async def _finish_follows(self, commands: tuple[Command, ...]) -> None:
-        """Tell the others at once; the observers repeat what fails."""
+    async def _send_follows(self, commands: tuple[Command, ...]) -> None:
+        """Order the other members to follow; observers retry failures."""
         for command in commands:
             if isinstance(command, SendFollow):
                 self._spawn(self._follow(command))
-        # A member that is away must not hold the next promotion up.
+        # An unreachable member must not delay the next promotion.
         await sleep(0.05)
 
     async def _follow(self, command: SendFollow) -> None:
@@ -162,11 +162,11 @@
 
 
 async def send_follow(probe: MemberProbe, term: int, primary: Any) -> bool:
-    """Tell a member to follow; False where it didn't accept."""
+    """Order a member to follow ``primary``; False if it did not accept."""
     try:
         connection = await probe.take_connection()
         accepted = await connection.follow(term, primary, CONTROL_TIMEOUT_S)
     except (TargetError, TargetLost):
         return False
-    await probe.give_back(connection)
+    await probe.return_connection(connection)
     return accepted
--- a/redwingpost/agent/service.py
+++ b/redwingpost/agent/service.py
@@ -1,4 +1,4 @@
-"""The agent process: its parts, put together."""
+"""The agent process, which runs the agent's parts."""
 
 from time import time
 from typing import Any
@@ -25,8 +25,8 @@
 from redwingpost.settings import Settings
 
 #: Seconds that a planned stop waits for the VM's proxy, which drains at
-#: the same time and takes views of groups from here until its end.
-PROXY_LIMIT_S = 9.0
+#: the same time and reads views of groups from this agent until it stops.
+PROXY_DRAIN_TIMEOUT_S = 9.0
 
 _DRAIN_POLL_S = 0.1
 
@@ -41,11 +41,11 @@
     clock : Clock, optional
         Source of time.
     platform : Any, optional
-        The platform's ports, for tests; else over HTTP.
+        The platform's ports, for tests; by default over HTTP.
     incarnation : int, optional
-        Grows with each start; by default wall-clock milliseconds.
+        Increases with each start; by default wall-clock milliseconds.
     parts : tuple of str, optional
-        Names of the parts to run; by default all that are registered.
+        Names of the parts to run; by default all registered ones.
     """
 
     def __init__(
@@ -104,13 +104,13 @@
 
     @property
     def ready(self) -> bool:
-        """Say whether this VM's agent does its work."""
+        """Whether the agent has a configuration and is not stopping."""
         state = self.context.state
         has_configuration = state.configuration.version > 0
         return has_configuration and not (state.draining or state.stopping)
 
     async def on_start(self) -> None:
-        """Start the parts; peers are served from the first moment on."""
+        """Start the server for peers, the parts and the status pages."""
         if self.settings.faults.enabled:
             self._faults = install_link_faults(self.settings.vm.ip)
         if self._own_platform:
@@ -125,19 +125,19 @@
         )
 
     async def drain(self) -> None:
-        """Leave: no longer ready, and wait for the VM's proxy to go."""
+        """Become unready and wait for the VM's proxy to stop."""
         state = self.context.state
         state.stopping = True
-        state.beat_again()
+        state.renew_own_beat()
         started_at = self.clock.now()
         while state.proxy_attached:
-            if self.clock.now() - started_at > PROXY_LIMIT_S:
-                logger.warning("stopped before the VM's proxy")
+            if self.clock.now() - started_at > PROXY_DRAIN_TIMEOUT_S:
+                logger.warning("stopping before the VM's proxy has stopped")
                 break
             await self.sleep(_DRAIN_POLL_S)
 
     async def on_shutdown(self) -> None:
-        """Close what the parts shared, once they have stopped."""
+        """Release what the parts share, after they have stopped."""
         self.context.cancel_spawned()
         self.context.peers.close()
         if self._faults is not None:
@@ -145,7 +145,7 @@
 
 
 def _store_address(url: str) -> PeerAddress | None:
-    """Return the platform's address where its URL names an IP number."""
+    """Return the platform's address, or None for a URL without a port."""
     parts = urlsplit(url)
     if not parts.hostname or not parts.port:
         return None
--- a/redwingpost/agent/state.py
+++ b/redwingpost/agent/state.py
@@ -1,7 +1,7 @@
-"""What an agent knows, and the feed that its proxy takes from it.
+"""An agent's state of the fleet, and the revisions of its proxy's feed.
 
 Each part of the feed has the revision at which it last changed, so that
-an answer carries only what is new to the proxy.
+an answer contains only what is new to the proxy.
 """
 
 from asyncio import Event, wait_for
@@ -19,15 +19,15 @@
 from redwingpost.ports import Clock, VmEntry
 from redwingpost.settings import Settings
 
-#: A proxy that polls counts as attached for this long (seconds) after
-#: its last poll; polls last a second at most.
+#: Seconds after its last poll for which a proxy counts as attached. A
+#: poll lasts a second at most.
 ATTACHED_S = 3.0
 
 
 class BaseShare(NamedTuple):
-    """A part of an organisation's rate, granted until ``valid_until``.
+    """A share of an organisation's rate, granted until ``valid_until``.
 
-    The time is seconds on the agent's clock.
+    The time is in seconds on the agent's clock.
     """
 
     organisation: str
@@ -37,7 +37,7 @@
 
 
 class FleetState:
-    """All that one agent knows.
+    """The state of one agent: configuration, members, views and shares.
 
     Parameters
     ----------
@@ -46,7 +46,7 @@
     clock : Clock
         Source of time.
     incarnation : int
-        Grows with each start of the VM; also the first revision.
+        Increases with each start of the agent; also the first revision.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         self._proxy_seen_at = float("-inf")
         self._proxy_revision = 0
         self._proxy_version = 0
-        self.beat_again()
+        self.renew_own_beat()
 
     @property
     def vm(self) -> str:
@@ -92,11 +92,11 @@
 
     @property
     def own(self) -> Member:
-        """This VM's own entry."""
+        """This VM's own entry in the member table."""
         return self.members.by_vm[self.vm]
 
-    def beat_again(self) -> Beat:
-        """Renew this VM's own heartbeat."""
+    def renew_own_beat(self) -> Beat:
+        """Replace this VM's own heartbeat by a new one and return it."""
         self._sequence += 1
         settings = self.settings
         beat = Beat(
@@ -118,7 +118,7 @@
         return beat
 
     def digest(self) -> Digest:
-        """Return what this agent holds, in a few numbers."""
+        """Return a digest of this agent's state for comparison."""
         return Digest(
             version=self.configuration.version,
             withdrawals_mark=self.configuration.withdrawals_mark,
@@ -128,100 +128,100 @@
         )
 
     def confirmed_age_s(self) -> float:
-        """Return for how long withdrawals have been unconfirmed."""
+        """Return how long withdrawals have been unconfirmed (seconds)."""
         now = self.clock.now()
         data_centres = self.members.data_centres()
         return now - self.confirmation.confirmed_at(data_centres, now)
 
     def offer(self, copy: Versioned) -> OfferResult:
-        """Take a configuration if it is newer, whole and valid."""
+        """Adopt a configuration if it is newer, complete and valid."""
         before = self.configuration.withdrawn
         offer = self.configuration.offer(copy)
         if offer is OfferResult.TAKEN:
-            self._touch("configuration")
+            self._mark_changed("configuration")
             if self.configuration.withdrawn != before:
-                self._touch("withdrawals")
+                self._mark_changed("withdrawals")
         return offer
 
     def withdraw(
         self, withdrawals: Iterable[Withdrawal]
     ) -> frozenset[Withdrawal]:
-        """Union withdrawals in and return the new ones."""
+        """Merge withdrawals and return the new ones."""
         new = self.configuration.withdraw(withdrawals)
         if new:
-            self._touch("withdrawals")
+            self._mark_changed("withdrawals")
         return new
 
     def observe_views(
         self, views: Iterable[GroupView]
     ) -> tuple[GroupView, ...]:
-        """Take views in and return those that were news."""
+        """Merge views and return the new ones."""
         new = self.views.observe(views)
         if new:
-            self._touch("views")
+            self._mark_changed("views")
         return new
 
-    def merge(self, beat: Beat, heard_at: float, evidence: BeatSource) -> None:
-        """Take in a heartbeat of another VM."""
-        if self.members.merge(beat, heard_at, evidence):
-            self._touch("peers")
+    def merge(self, beat: Beat, seen_at: float, source: BeatSource) -> None:
+        """Merge a heartbeat of another VM."""
+        if self.members.merge(beat, seen_at, source):
+            self._mark_changed("peers")
         if beat.relay and not beat.gone:
-            self.members.refresh_data_centre(beat.data_centre, heard_at)
+            self.members.refresh_data_centre(beat.data_centre, seen_at)
 
     def mark_gone(self, beat: Beat) -> None:
-        """Note that a VM of this data centre is gone."""
+        """Mark a VM of this data centre as gone."""
         self.merge(beat, float("-inf"), BeatSource.RELAYED)
 
-    def take_list(self, entries: Iterable[VmEntry]) -> None:
-        """Lay the platform's list over the members."""
+    def update_from_vm_list(self, entries: Iterable[VmEntry]) -> None:
+        """Update the members from the platform's list of VMs."""
         before = self.members.revision
         self.members.apply_vm_list(entries, self.clock.now())
         if self.members.revision != before:
-            self._touch("peers")
+            self._mark_changed("peers")
 
     def set_shares(self, shares: tuple[BaseShare, ...]) -> None:
         """Replace the shares that the proxy may use."""
         if shares != self.shares:
             self.shares = shares
-            self._touch("shares")
+            self._mark_changed("shares")
 
     def drain(self) -> None:
-        """Ask the VM's proxy to drain."""
+        """Tell the VM's proxy to drain."""
         self.draining = True
-        self.beat_again()
-        self._touch("draining")
+        self.renew_own_beat()
+        self._mark_changed("draining")
 
     @property
     def proxy_attached(self) -> bool:
-        """Whether this VM's proxy takes the feed."""
+        """Whether this VM's proxy polls the feed."""
         return self.clock.now() - self._proxy_seen_at < ATTACHED_S
 
-    def proxy_polls(self, revision: int) -> None:
-        """Note what the proxy has taken in."""
+    def record_proxy_poll(self, revision: int) -> None:
+        """Record a poll and the revision that the proxy has applied."""
         self._proxy_seen_at = self.clock.now()
         self._proxy_revision = revision
         changed = self._revision_by_part.get("configuration", 0)
-        if changed and self._is_ours(revision) and revision >= changed:
+        if changed and self._is_own_revision(revision) and revision >= changed:
             self._proxy_version = self.configuration.version
-        elif not self._is_ours(revision):
+        elif not self._is_own_revision(revision):
             self._proxy_version = 0
 
-    def proxy_left(self) -> None:
-        """Note that the proxy has stopped."""
+    def record_proxy_stop(self) -> None:
+        """Record that the proxy has stopped."""
         self._proxy_seen_at = float("-inf")
 
-    def is_news(self, part: str, revision: int) -> bool:
-        """Say whether a part changed after the proxy's revision.
+    def has_changed_since(self, part: str, revision: int) -> bool:
+        """Return whether a part changed after the proxy's revision.
 
-        A revision that this agent never gave is from an earlier agent:
-        everything is news then.
+        A revision that this agent did not issue is from an earlier agent;
+        then every part counts as changed.
         """
-        if not self._is_ours(revision):
+        if not self._is_own_revision(revision):
             return True
         return self._revision_by_part.get(part, 0) > revision
 
-    async def wait_beyond(self, revision: int, timeout: float) -> None:
-        """Return once there is something new, or after ``timeout``."""
+    async def wait_for_change(self, revision: int, timeout: float) -> None:
+        """Wait until the revision changes, at most ``timeout`` seconds."""
         if self._revision != revision:
             return
         try:
@@ -229,10 +229,10 @@
         except TimeoutError:
             return
 
-    def _is_ours(self, revision: int) -> bool:
+    def _is_own_revision(self, revision: int) -> bool:
         return self.incarnation <= revision <= self._revision
 
-    def _touch(self, part: str) -> None:
+    def _mark_changed(self, part: str) -> None:
         self._revision += 1
         self._revision_by_part[part] = self._revision
         changed, self._changed = self._changed, Event()
--- a/redwingpost/agent/store_watch.py
+++ b/redwingpost/agent/store_watch.py
@@ -1,9 +1,9 @@
-"""The relay's work at the platform: lease, versions, list of VMs.
+"""The relay's access to the platform: lease, versions, list of VMs.
 
-Only the agent that relays for its data centre reads the store at
-regular intervals, so that the store sees one reader per data centre
-whatever the fleet's size. Withdrawals that were accepted while the store
-was away are recorded once it is back.
+Only the agent that is the relay of its data centre polls the store, so
+that the store has one reader per data centre whatever the fleet's size.
+Withdrawals that were accepted while the store was unavailable are
+recorded once it is available again.
 """
 
 from datetime import datetime, timezone
@@ -21,24 +21,26 @@
 from redwingpost.membership.relays import RelayRole, relay_of
 from redwingpost.membership.relays import RELAY_LEASE_S
 
-#: Seconds between two looks at the head. Operators tell agents at once;
-#: this finds what they could not tell, within the 2 s of a change. Each
-#: look costs some 700 bytes of HTTP.
+#: Seconds between two reads of the head row. The operator's tool notifies
+#: agents at once; polling finds versions whose notification was lost,
+#: within the 2 s allowed for a change. A read costs about 700 bytes of
+#: HTTP.
 HEAD_POLL_S = 1.0
 
-#: The platform's list lags by seconds anyway. It grows with the fleet,
-#: some 100 bytes a VM, so that a large one is read less often; VMs that
-#: are new are known by their heartbeats long before.
+#: Shortest interval between reads of the platform's list of VMs (seconds)
+#: and VMs listed per second of interval. The list lags by seconds anyway.
+#: It grows by about 100 bytes per VM, so that a long one is read less
+#: often; the heartbeats of new VMs arrive long before.
 LIST_POLL_S = 2.0
 LIST_VMS_PER_S = 5.0
 
 #: Seconds that a withdrawal may stay unrecorded before a relay records
-#: it: an operator's own tool does so within one.
+#: it; the operator's tool does so within one second.
 RECORD_AFTER_S = 3.0
 
 
 class StoreWatch:
-    """What one agent does at the platform."""
+    """One agent's accesses to the platform: the relay's lease and polls."""
 
     def __init__(self, context: AgentContext, exchanger: Exchanger) -> None:
         self._context = context
@@ -60,30 +62,30 @@
         self._unrecorded_since: float | None = None
 
     async def step(self) -> None:
-        """Do whatever is due; called several times a second."""
+        """Run the accesses that are due; called several times a second."""
         relay = self._relay()
         role = self._role(relay)
         members = self._neighbours()
         if role.wants_lease(relay, members):
             await self._keep_lease()
         role = self._role(self._relay())
-        acts = role.is_active(self._relay(), members)
-        self._take_role(acts)
-        if acts:
+        is_relay = role.is_active(self._relay(), members)
+        self._set_role(is_relay)
+        if is_relay:
             await self._poll_head()
             await self._poll_list()
             await self._record_withdrawals()
-        elif not self._knows_others():
+        elif not self._knows_other_vms():
             await self._poll_list()
 
     async def start(self) -> None:
-        """Read the list and the newest version before the first beat."""
+        """Read the list and newest version before the first heartbeat."""
         await self._poll_list()
         if not self.store_away:
             await self._poll_head()
 
-    async def give_up(self) -> None:
-        """Hand the relay's lease back, so that another takes it at once."""
+    async def release_lease(self) -> None:
+        """Release the relay's lease, so that another agent can take it."""
         if not self._lease.is_held(self._context.clock.now()):
             return
         released = self._lease.release()
@@ -95,7 +97,7 @@
     def _neighbours(self) -> tuple:
         return self._state.members.of_data_centre(self._state.data_centre)
 
-    def _knows_others(self) -> bool:
+    def _knows_other_vms(self) -> bool:
         return any(
             member.beat.incarnation > 0
             for vm, member in self._state.members.by_vm.items()
@@ -115,12 +117,14 @@
             unreached_s=self._exchanger.unreached_s(relay),
         )
 
-    def _take_role(self, acts: bool) -> None:
-        if acts == self._state.is_relay:
+    def _set_role(self, is_relay: bool) -> None:
+        if is_relay == self._state.is_relay:
             return
-        self._state.is_relay = acts
-        self._state.beat_again()
-        logger.info("relay of {}: {}", self._state.data_centre, acts)
+        self._state.is_relay = is_relay
+        self._state.renew_own_beat()
+        logger.info(
+            "agent is relay of {}: {}", self._state.data_centre, is_relay
+        )
         self._exchanger.spread(NewsOrigin.LOCAL)
 
     async def _keep_lease(self) -> None:
@@ -149,9 +153,9 @@
         elif sent.ok.committed:
             self._lease.committed(sent.ok.versions[0])
         else:
-            standing = sent.ok.conflicts[0] if sent.ok.conflicts else None
-            exists = standing is not None and standing.version > 0
-            self._lease.refused(standing if exists else None, now)
+            current_row = sent.ok.conflicts[0] if sent.ok.conflicts else None
+            exists = current_row is not None and current_row.version > 0
+            self._lease.refused(current_row if exists else None, now)
 
     async def _poll_head(self) -> None:
         now = self._context.clock.now()
@@ -176,7 +180,7 @@
         if offer is OfferResult.TAKEN:
             self._exchanger.spread(NewsOrigin.LOCAL)
         elif offer is OfferResult.BROKEN:
-            logger.error("version {} can't be read", copy.ok.version)
+            logger.error("version {} is invalid", copy.ok.version)
 
     async def _poll_list(self) -> None:
         now = self._context.clock.now()
@@ -187,7 +191,7 @@
         self._polled_list_at = now
         listed = await self._context.vm_list.vms()
         if listed.is_ok():
-            self._state.take_list(listed.ok)
+            self._state.update_from_vm_list(listed.ok)
 
     async def _record_withdrawals(self) -> None:
         now = self._context.clock.now()
@@ -209,4 +213,6 @@
         )
         recorded = await self._log.withdraw(unrecorded, change)
         if recorded.is_error() and recorded.error.code != Code.NOT_FOUND:
-            logger.warning("withdrawals: {}", recorded.error.describe())
+            logger.warning(
+                "withdrawals not recorded: {}", recorded.error.describe()
+            )
--- a/redwingpost/agent/tests/fleet.py
+++ b/redwingpost/agent/tests/fleet.py
@@ -1,4 +1,4 @@
-"""Several agents in one process, on real sockets, for tests."""
+"""Test harness: several agents in one process on loopback sockets."""
 
 from asyncio import sleep
 from collections.abc import Callable
@@ -21,26 +21,26 @@
     VmSettings,
 )
 
-#: Rounds of waiting before a test gives up: 30 s, which only a machine
-#: that stands still uses up.
+#: Rounds that a test waits for a condition: 30 s in total, which is
+#: reached only if the condition never holds or the computer hangs.
 ROUNDS = 600
 ROUND_S = 0.05
 
 
 class FakePlatform(MemoryStore):
-    """The store, with a list of VMs."""
+    """An in-memory store with a list of VMs."""
 
     def __init__(self) -> None:
         super().__init__()
         self.entries: list[VmEntry] = []
 
     async def vms(self) -> Result[tuple[VmEntry, ...], Refusal]:
-        """Return the list; it is there even while the store is away."""
+        """Return the list, also while the store is unavailable."""
         return Ok(tuple(self.entries))
 
 
 class PlatformLink:
-    """One VM's way to the platform, which can be cut."""
+    """One VM's connection to the platform, which can be cut."""
 
     def __init__(self, platform: FakePlatform) -> None:
         self._platform = platform
@@ -54,7 +54,7 @@
 
 
 class TestFleet:
-    """Agents by VM; ``vms`` maps names to data centres."""
+    """A fleet of agents; ``vms`` maps VM names to data centres."""
 
     __test__ = False
 
@@ -75,7 +75,7 @@
             await self.start_one(vm)
 
     async def start_one(self, vm: str) -> Agent:
-        """Start an agent, in place of an earlier one of that name."""
+        """Start an agent, replacing an earlier one of that name."""
         data_centre, ip = self._data_centres[vm], self.ips[vm]
         settings = Settings(
             vm=VmSettings(vm, data_centre, ip), agent=AgentSettings()
@@ -96,13 +96,13 @@
             self._clients.close()
 
     async def kill(self, vm: str) -> None:
-        """End an agent without a word to the others."""
+        """Stop an agent without an announcement, as a crash would."""
         agent = self.agents.pop(vm)
-        agent.parts_by_name["fleet"].say_goodbye = False
+        agent.parts_by_name["fleet"].announce_leaving = False
         await agent.stop()
 
     async def submit(self, body: bytes, base: int) -> None:
-        """Have a version accepted, and tell nobody."""
+        """Submit a version to the store without notifying any agent."""
         change = Change(body, base, "ana", "2030-01-01", f"s-{base}")
         accepted = await self._log.submit(change)
         assert accepted.is_ok(), accepted
@@ -113,38 +113,38 @@
         await self.call(vm, lambda n: n.fleet().fleet.withdrawals(known=known))
 
     async def call(self, vm: str, method: Callable[[Any], Any]) -> Any:
-        """Call an agent as another process would."""
+        """Call an agent over RPC, as another process does."""
         address = PeerAddress(self.ips[vm], self.agents[vm].server.port)
         answer = await self._clients.call(address, method, 20.0)
         assert answer.is_ok(), answer
         return answer.ok
 
-    async def until(self, holds: Callable[[Agent], bool]) -> None:
-        """Wait until something holds at every agent."""
+    async def until(self, condition: Callable[[Agent], bool]) -> None:
+        """Wait until a condition holds at every agent."""
         for _ in range(ROUNDS):
-            if all(holds(agent) for agent in self.agents.values()):
+            if all(condition(agent) for agent in self.agents.values()):
                 return
             await sleep(ROUND_S)
-        missing = [vm for vm, a in self.agents.items() if not holds(a)]
-        raise AssertionError(f"still missing: {missing}")
+        missing = [vm for vm, a in self.agents.items() if not condition(a)]
+        raise AssertionError(f"the condition does not hold at {missing}")
 
     async def pause(self) -> None:
-        """Let the agents go on for one round."""
+        """Let the agents run for one round."""
         await sleep(ROUND_S)
 
-    async def until_met(self) -> None:
-        """Wait until every agent has heard of every other."""
+    async def until_all_known(self) -> None:
+        """Wait until every agent knows every other one."""
         count = len(self.agents)
-        await self.until(lambda agent: len(heard(agent)) == count)
+        await self.until(lambda agent: len(known_live_vms(agent)) == count)
 
 
 def state_of(agent: Agent) -> Any:
-    """Return what an agent knows."""
+    """Return an agent's state."""
     return agent.context.state
 
 
-def heard(agent: Agent) -> list[str]:
-    """Return the VMs that an agent has heard of and not lost."""
+def known_live_vms(agent: Agent) -> list[str]:
+    """Return the VMs that an agent knows and has not marked gone."""
     return [
         vm
         for vm, member in state_of(agent).members.by_vm.items()
--- a/redwingpost/agent/tests/test_cuts.py
+++ b/redwingpost/agent/tests/test_cuts.py
@@ -1,4 +1,4 @@
-"""Tests of agents that are cut off from each other and from the store."""
+"""Tests of agents during partitions from each other and from the store."""
 
 from json import dumps
 from unittest import TestCase
@@ -17,11 +17,11 @@
 )
 from redwingpost.configuration.tests.test_parse import GOOD
 
-ALONE, OTHERS = "vm-6", ("vm-1", "vm-2", "vm-3", "vm-4", "vm-5")
+ISOLATED, OTHERS = "vm-6", ("vm-1", "vm-2", "vm-3", "vm-4", "vm-5")
 
 
 def cut(faults: LinkFaults, fleet: TestFleet, pairs: list) -> None:
-    """Cut dialling from each first VM of the pairs to the second."""
+    """Cut connections that each pair's first VM dials to the second."""
     rules = [
         {
             "from": f"{fleet.ips[first]}/32",
@@ -34,12 +34,12 @@
 
 
 async def start_six(net: int) -> tuple[TestFleet, LinkFaults]:
-    """Start six agents that hold version 1 and are confirmed."""
+    """Start six agents with version 1 and confirmed keys."""
     faults = install_link_faults(f"127.{net}.99.1")
     fleet = TestFleet(SIX, net=net)
     await fleet.submit(BODY, 0)
     await fleet.start()
-    await fleet.until_met()
+    await fleet.until_all_known()
     await fleet.until(has_version(1))
     await fleet.until(lambda a: state_of(a).confirmed_age_s() < 5.0)
     return fleet, faults
@@ -55,27 +55,28 @@
     @in_kj_loop
     async def test_a_data_centre_cut_off_from_everyone(self):
         # The only VM of a data centre loses its links to all others and
-        # to the store. It goes on with what it has; it can't hear of a
-        # withdrawal, and knows that: its keys go unconfirmed, while the
-        # others' stay confirmed. Once the links are back it catches up.
+        # to the store. It continues with its last state. It can't receive
+        # a withdrawal, so its keys must become unconfirmed while those of
+        # the other VMs stay confirmed. Once the links are back it catches
+        # up.
         fleet, faults = await start_six(net=48)
-        cut(faults, fleet, both_ways(ALONE, OTHERS))
-        fleet.links[ALONE].is_cut = True
-        alone = state_of(fleet.agents[ALONE])
+        cut(faults, fleet, both_ways(ISOLATED, OTHERS))
+        fleet.links[ISOLATED].is_cut = True
+        isolated = state_of(fleet.agents[ISOLATED])
         await fleet.withdraw("vm-1", KEY)
         rest = {vm: fleet.agents[vm] for vm in OTHERS}
         everyone, fleet.agents = fleet.agents, rest
         await fleet.until(knows_withdrawal)
         await fleet.submit(FASTER, 1)
         await fleet.until(has_version(2))
-        while alone.confirmed_age_s() < 4.0:
+        while isolated.confirmed_age_s() < 4.0:
             await fleet.pause()
         await fleet.until(lambda a: state_of(a).confirmed_age_s() < 4.0)
-        self.assertEqual(alone.configuration.version, 1)
-        self.assertNotIn(KEY, alone.configuration.withdrawn)
+        self.assertEqual(isolated.configuration.version, 1)
+        self.assertNotIn(KEY, isolated.configuration.withdrawn)
         fleet.agents = everyone
         faults.set_rules(())
-        fleet.links[ALONE].is_cut = False
+        fleet.links[ISOLATED].is_cut = False
         await fleet.until(knows_withdrawal)
         await fleet.until(lambda a: state_of(a).configuration.version >= 2)
         await fleet.until(lambda a: state_of(a).confirmed_age_s() < 4.0)
@@ -84,27 +85,28 @@
 
     @in_kj_loop
     async def test_a_vm_that_can_be_reached_but_reaches_nobody(self):
-        # A rule of a firewall went wrong: the VM can't dial anyone and
-        # has no store, but can be dialled. News must reach it by the
-        # others' calls, and it must not count as gone.
+        # With a wrong firewall rule the VM can't dial other VMs or the
+        # store, but can be dialled. News must reach it through the calls
+        # of other VMs, and it must not be marked gone.
         fleet, faults = await start_six(net=49)
-        cut(faults, fleet, [(ALONE, other) for other in OTHERS])
-        fleet.links[ALONE].is_cut = True
+        cut(faults, fleet, [(ISOLATED, other) for other in OTHERS])
+        fleet.links[ISOLATED].is_cut = True
         await fleet.withdraw("vm-1", KEY)
         await fleet.until(knows_withdrawal)
         await fleet.submit(FASTER, 1)
         await fleet.until(lambda a: state_of(a).configuration.version >= 2)
         first = state_of(fleet.agents["vm-1"])
-        self.assertFalse(first.members.by_vm[ALONE].beat.gone)
+        self.assertFalse(first.members.by_vm[ISOLATED].beat.gone)
         await fleet.stop()
         faults.uninstall()
 
     @in_kj_loop
     async def test_a_data_centre_cut_off_from_the_store_alone(self):
-        # The store can't be reached from one data centre. Versions come
-        # through the relays of the others, and keys stay confirmed.
+        # The store is unreachable from one data centre. Versions must
+        # arrive through the relays of the others, and keys must stay
+        # confirmed.
         fleet, faults = await start_six(net=50)
-        fleet.links[ALONE].is_cut = True
+        fleet.links[ISOLATED].is_cut = True
         await fleet.submit(FASTER, 1)
         await fleet.until(has_version(2))
         await fleet.until(lambda a: state_of(a).confirmed_age_s() < 4.0)
@@ -115,8 +117,8 @@
 class AllReplacedTest(TestCase):
     @in_kj_loop
     async def test_with_the_store_up(self):
-        # All VMs are replaced at once. Nothing of the system is left
-        # but what stands in the store, and that is enough.
+        # All VMs are replaced at once. Only the store's contents are
+        # left, from which the new VMs must recover.
         fleet = TestFleet(SIX, net=51)
         await fleet.submit(dumps(GOOD).encode(), 0)
         await fleet.start()
@@ -128,14 +130,14 @@
 
     @in_kj_loop
     async def test_with_the_store_away(self):
-        # The same during an outage: nobody has a configuration. The VMs
-        # stay unready, so that the balancer sends nobody, and serve by
-        # themselves as soon as the store is back.
+        # All VMs are replaced during an outage of the store, so none has
+        # a configuration. They must stay unready, so that the balancer
+        # sends them no callers, and become ready once the store is back.
         fleet = TestFleet(SIX, net=52)
         await fleet.submit(BODY, 0)
         fleet.platform.away = True
         await fleet.start()
-        await fleet.until_met()
+        await fleet.until_all_known()
         self.assertFalse(any(a.ready for a in fleet.agents.values()))
         fleet.platform.away = False
         await fleet.until(lambda agent: agent.ready)
--- a/redwingpost/agent/tests/test_fleet.py
+++ b/redwingpost/agent/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Tests of agents together: news, outages, replaced VMs."""
+"""Tests of several agents: dissemination, outages, replaced VMs."""
 
 from json import dumps
 from unittest import TestCase
@@ -22,23 +22,23 @@
 
 
 def has_version(number):
-    """Return a check that an agent holds a version."""
+    """Return a condition: the agent's configuration has this version."""
     return lambda agent: state_of(agent).configuration.version == number
 
 
 def knows_withdrawal(agent):
-    """Say whether an agent knows that KEY is withdrawn."""
+    """Return whether an agent knows that KEY is withdrawn."""
     return KEY in state_of(agent).configuration.withdrawn
 
 
 class FleetTest(TestCase):
     @in_kj_loop
     async def test_a_version_reaches_everyone(self):
-        # The operator's tool reaches the store and then dies before it
-        # has told an agent. Relays find the version by themselves.
+        # The operator's tool writes a version to the store and crashes
+        # before it notifies an agent. Relays must find it by polling.
         fleet = TestFleet(SIX, net=41)
         await fleet.start()
-        await fleet.until_met()
+        await fleet.until_all_known()
         await fleet.submit(BODY, 0)
         await fleet.until(has_version(1))
         relays = [vm for vm, a in fleet.agents.items() if state_of(a).is_relay]
@@ -48,14 +48,14 @@
 
     @in_kj_loop
     async def test_the_store_goes_away(self):
-        # During an outage an operator withdraws a key and a VM is
-        # replaced. The withdrawal reaches everyone, the new VM gets the
-        # configuration and the withdrawal from a peer, and once the
-        # store is back the withdrawal is recorded in it.
+        # During an outage of the store an operator withdraws a key and a
+        # VM is replaced. The withdrawal must reach all agents, the new VM
+        # must get configuration and withdrawal from a peer, and the
+        # withdrawal must be recorded once the store is back.
         fleet = TestFleet(SIX, net=42)
         await fleet.submit(BODY, 0)
         await fleet.start()
-        await fleet.until_met()
+        await fleet.until_all_known()
         await fleet.until(has_version(1))
         fleet.platform.away = True
         await fleet.withdraw("vm-6", KEY)
@@ -69,12 +69,12 @@
         await fleet.stop()
 
     @in_kj_loop
-    async def test_a_relay_dies_without_a_word(self):
-        # The process of a relay is killed. Its data centre's other VM
-        # takes the role over and still hears of new versions.
+    async def test_a_relay_is_killed(self):
+        # The process of a relay is killed. The other VM of its data
+        # centre must take over the role and get new versions.
         fleet = TestFleet(SIX, net=43)
         await fleet.start("vm-1", "vm-2", "vm-5")
-        await fleet.until_met()
+        await fleet.until_all_known()
         await fleet.submit(BODY, 0)
         await fleet.until(has_version(1))
         relay = next(
--- a/redwingpost/agent/tests/test_partitions_page.py
+++ b/redwingpost/agent/tests/test_partitions_page.py
@@ -1,4 +1,4 @@
-"""The table of promises and failures names tests that exist."""
+"""The page of promises and failures must refer to existing tests."""
 
 from pathlib import Path
 from re import MULTILINE, findall
@@ -11,8 +11,8 @@
 
 class PartitionsPageTest(TestCase):
     def test_every_test_it_names_exists(self):
-        # A test is renamed or dropped and the page goes on promising
-        # what nothing shows any more.
+        # A test was renamed or removed, and the page still cites it as
+        # the proof of a promise.
         names = findall(r"^\d+\. `([\w.]+)`$", PAGE.read_text(), MULTILINE)
         self.assertGreater(len(names), 20)
         for name in names:
--- a/redwingpost/agent/tests/test_promoter.py
+++ b/redwingpost/agent/tests/test_promoter.py
@@ -1,4 +1,4 @@
-"""Agents order promotions, and don't, over real stand-ins."""
+"""Tests of when agents order promotions, with stand-in members."""
 
 from asyncio import gather, sleep
 from ipaddress import ip_network
@@ -47,8 +47,8 @@
     return state_of(agent).views.by_group.get(GROUP)
 
 
-def sees_primary(member, term):
-    """Return a check that an agent knows who leads."""
+def knows_primary(member, term):
+    """Return a condition: the agent's view names this primary."""
 
     def check(agent):
         view = view_of(agent)
@@ -57,16 +57,16 @@
     return check
 
 
-class Site:
-    """A group and the agents that watch it."""
+class ObservedGroup:
+    """A database group and the agents that observe it."""
 
     def __init__(self, net):
         self.fleet = TestFleet(FOUR, net)
         members = {
             f"{GROUP}-{letter}": Endpoint(
-                f"127.{net}.{place + 100}.1", 0, f"dc-{place}"
+                f"127.{net}.{number + 100}.1", 0, f"dc-{number}"
             )
-            for place, letter in enumerate("abc", start=1)
+            for number, letter in enumerate("abc", start=1)
         }
         self.group = GroupStandin(GroupSettings(GROUP, members))
 
@@ -74,8 +74,8 @@
         await self.group.start()
         await self.fleet.submit(configuration(self.group), 0)
         await self.fleet.start()
-        await self.fleet.until_met()
-        await self.fleet.until(sees_primary("a", 1))
+        await self.fleet.until_all_known()
+        await self.fleet.until(knows_primary("a", 1))
 
     async def stop(self):
         await self.fleet.stop()
@@ -91,60 +91,63 @@
             if member.is_alive and member.book.is_primary
         ]
 
-    async def settle(self, letter):
-        """Wait until a member follows whoever leads."""
+    async def wait_until_following(self, letter):
+        """Wait until a member follows the primary."""
         for _ in range(600):
             if self.member(letter).book.is_following:
                 return
             await sleep(0.05)
-        raise AssertionError(f"{letter} follows nobody")
+        raise AssertionError(f"{letter} follows no primary")
 
 
 class PromoterTest(TestCase):
     @in_kj_loop
     async def test_dead_primary_is_replaced_once(self):
-        # The primary's machine fails while the platform's store is
-        # away. Callers can't write until another member leads. When the
-        # old primary is back it follows; what only it held is reported.
-        site = Site(net=51)
-        await site.start()
-        site.fleet.platform.away = True
-        await site.member("a").die()
-        await site.fleet.until(
+        # The primary fails while the platform's store is unavailable.
+        # Callers can't write until another member is the primary. When
+        # the old primary is back it must follow, and entries that only
+        # it had are reported as diverged.
+        observed = ObservedGroup(net=51)
+        await observed.start()
+        observed.fleet.platform.away = True
+        await observed.member("a").die()
+        await observed.fleet.until(
             lambda agent: view_of(agent).term > 1
             and bool(view_of(agent).primary)
         )
-        await site.member("a").restart()
-        await site.settle("a")
-        leaders = site.leaders()
+        await observed.member("a").restart()
+        await observed.wait_until_following("a")
+        leaders = observed.leaders()
         self.assertEqual(len(leaders), 1)
         self.assertNotEqual(leaders[0][0], "a")
-        await site.stop()
+        await observed.stop()
 
     @in_kj_loop
     async def test_pause_of_300_ms_orders_nothing(self):
-        # A primary stands still for a moment, as a VM does when it is
-        # moved. A promotion would cost all callers a second of writes.
-        site = Site(net=52)
-        await site.start()
+        # A primary pauses briefly, as during a live migration. A needless
+        # promotion would stop all callers' writes for a second.
+        observed = ObservedGroup(net=52)
+        await observed.start()
         for _ in range(3):
-            site.member("a").pause()
+            observed.member("a").pause()
             await sleep(0.3)
-            site.member("a").resume()
+            observed.member("a").resume()
             await sleep(0.3)
-        self.assertEqual(site.leaders(), [("a", 1)])
-        terms = {view_of(agent).term for agent in site.fleet.agents.values()}
+        self.assertEqual(observed.leaders(), [("a", 1)])
+        terms = {
+            view_of(agent).term for agent in observed.fleet.agents.values()
+        }
         self.assertEqual(terms, {1})
-        await site.stop()
+        await observed.stop()
 
     @in_kj_loop
     async def test_two_proposers_at_once(self):
-        # Two agents propose in the same moment, whatever their ranks.
-        # With two primaries of one term callers would read two truths.
-        site = Site(net=53)
-        await site.start()
-        await site.member("a").die()
-        agents = list(site.fleet.agents.values())[:2]
+        # Two agents propose at the same moment, regardless of rank. With
+        # two primaries in one term callers would read different data.
+        observed = ObservedGroup(net=53)
+        await observed.start()
+        await observed.member("a").die()
+        agents = list(observed.fleet.agents.values())[:2]
         parts = [agent.parts_by_name["observer"] for agent in agents]
         await gather(
             *(
@@ -152,63 +155,65 @@
                 for part in parts
             )
         )
-        await site.fleet.until(
+        await observed.fleet.until(
             lambda agent: view_of(agent).term > 1
             and bool(view_of(agent).primary)
         )
-        self.assertEqual(len(site.leaders()), 1)
-        await site.stop()
+        self.assertEqual(len(observed.leaders()), 1)
+        await observed.stop()
 
     @in_kj_loop
     async def test_dead_proposer_leaves_no_group_behind(self):
-        # An agent claims a term at every member and dies. The group
-        # answers, but takes no writes until another agent notices.
-        site = Site(net=54)
-        await site.start()
+        # An agent claims a term at every member and crashes. The members
+        # answer, but accept no writes until another agent promotes one.
+        observed = ObservedGroup(net=54)
+        await observed.start()
         for letter in "abc":
-            site.member(letter).claim(2, "an-agent-that-died")
-        await site.fleet.until(
+            observed.member(letter).claim(2, "an-agent-that-died")
+        await observed.fleet.until(
             lambda agent: view_of(agent).term > 2
             and bool(view_of(agent).primary)
         )
-        self.assertEqual(len(site.leaders()), 1)
-        await site.stop()
+        self.assertEqual(len(observed.leaders()), 1)
+        await observed.stop()
 
     @in_kj_loop
     async def test_leaving_primary_hands_over(self):
-        # An operator drains the primary. It must not take writes for
-        # long, and no caller may lose one in the hand-over.
-        site = Site(net=55)
-        await site.start()
-        body = configuration(site.group, [f"{GROUP}-a"])
-        await site.fleet.submit(body, 1)
-        await site.fleet.until(
+        # An operator drains the primary. It must not accept writes for
+        # long, and no caller may lose a write in the hand-over.
+        observed = ObservedGroup(net=55)
+        await observed.start()
+        body = configuration(observed.group, [f"{GROUP}-a"])
+        await observed.fleet.submit(body, 1)
+        await observed.fleet.until(
             lambda agent: view_of(agent).primary not in ("", f"{GROUP}-a")
         )
-        await site.settle("a")
-        self.assertEqual(len(site.leaders()), 1)
-        await site.stop()
+        await observed.wait_until_following("a")
+        self.assertEqual(len(observed.leaders()), 1)
+        await observed.stop()
 
     @in_kj_loop
     async def test_primary_without_replicas_is_replaced(self):
-        # The links between the primary and its replicas fail; agents
-        # reach all three. No write can be confirmed any more, so the
-        # group needs another primary although this one answers.
+        # The links between the primary and its replicas fail, while the
+        # agents reach all three. No write can be confirmed any more, so
+        # another primary is needed although this one answers.
         faults = install_link_faults("127.56.1.1")
-        site = Site(net=56)
-        await site.start()
-        primary = ip_network(site.member("a").endpoint.ip)
+        observed = ObservedGroup(net=56)
+        await observed.start()
+        primary = ip_network(observed.member("a").endpoint.ip)
         faults.set_rules(
             tuple(
                 LinkRule(
-                    ip_network(site.member(name).endpoint.ip), primary, "cut"
+                    ip_network(observed.member(name).endpoint.ip),
+                    primary,
+                    "cut",
                 )
                 for name in "bc"
             )
         )
-        site.member("a").replica.commit(LogEntry(1))
-        await site.fleet.until(
+        observed.member("a").replica.commit(LogEntry(1))
+        await observed.fleet.until(
             lambda agent: view_of(agent).primary not in ("", f"{GROUP}-a")
         )
-        await site.stop()
+        await observed.stop()
         faults.uninstall()
--- a/redwingpost/agent/tests/test_shares.py
+++ b/redwingpost/agent/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Tests of keeping a VM's base parts through outages and pauses."""
+"""Tests of a VM's base share during store outages and pauses of the VM."""
 
 from asyncio import run
 from types import SimpleNamespace
@@ -20,30 +20,30 @@
 
 
 class _Store:
-    """One row; while it is away each call takes its whole time-out."""
+    """A one-row store; during an outage each call takes its time-out."""
 
     def __init__(self, clock):
         self.clock = clock
         self.row = None
-        self.is_away = False
+        self.is_unavailable = False
         self.part = None
 
     async def _answer(self):
-        if not self.is_away:
+        if not self.is_unavailable:
             return
         for _ in range(4):
             self.clock.advance(0.5)
-            self.part.watch()
+            self.part.tick()
 
     async def read(self, table, key):
         await self._answer()
-        if self.is_away:
+        if self.is_unavailable:
             return Error(Refusal(Code.STORE_UNAVAILABLE))
         return Ok(self.row)
 
     async def transact(self, conditions, writes):
         await self._answer()
-        if self.is_away:
+        if self.is_unavailable:
             return Error(Refusal(Code.STORE_OUTCOME_UNKNOWN))
         version = self.row.version if self.row else 0
         if conditions[0].version != version:
@@ -83,50 +83,50 @@
     def _take(self, shares):
         self.shares = shares
 
-    def _live(self, seconds):
+    def _run_for(self, seconds):
         for _ in range(int(seconds / 0.5)):
-            self.part.watch()
-            run(self.part.work())
+            self.part.tick()
+            run(self.part.update_roster())
             self.clock.advance(0.5)
-        self.part.watch()
+        self.part.tick()
 
     @property
     def _parts(self):
         return self.shares[0].parts_per_million
 
     def test_a_part_is_claimed(self):
-        self._live(2)
+        self._run_for(2)
         self.assertEqual(self._parts, TOTAL_PARTS // 2)
 
     def test_a_store_outage_takes_no_part_away(self):
-        # The platform's store is away for half a minute, and each call
-        # to it hangs for two seconds. No grant can change meanwhile, so
-        # callers within their rates must not be refused.
-        self._live(2)
-        self.store.is_away = True
+        # The platform's store is unavailable for half a minute, and each
+        # call to it hangs for two seconds. No grant can change meanwhile,
+        # so callers within their rates must not be refused.
+        self._run_for(2)
+        self.store.is_unavailable = True
         for _ in range(15):
-            self._live(0.5)
+            self._run_for(0.5)
             self.assertEqual(self._parts, TOTAL_PARTS // 2)
 
-    def test_a_paused_agent_vouches_for_nothing(self):
-        # The VM is suspended for ten seconds. Its part may have been
-        # granted to another meanwhile: both together would serve more
-        # than the organisation's rate.
-        self._live(2)
+    def test_a_paused_agent_publishes_no_share(self):
+        # The VM is suspended for ten seconds. Its share may have been
+        # granted to another VM meanwhile; both together would exceed the
+        # organisation's rate.
+        self._run_for(2)
         self.clock.advance(10.0)
-        self.part.watch()
+        self.part.tick()
         self.assertEqual(self._parts, 0)
-        self._live(2)
+        self._run_for(2)
         self.assertEqual(self._parts, TOTAL_PARTS // 2)
 
-    def test_an_answer_from_before_a_pause_counts_for_nothing(self):
-        self._live(2)
+    def test_an_answer_from_before_a_pause_is_ignored(self):
+        self._run_for(2)
 
         async def pause():
             self.clock.advance(10.0)
-            self.part.watch()
+            self.part.tick()
 
         self.store._answer = pause
-        run(self.part.work())
-        self.part.watch()
+        run(self.part.update_roster())
+        self.part.tick()
         self.assertEqual(self._parts, 0)
