--- a/redwingpost/adapters/__init__.py
+++ b/redwingpost/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters: the ports over real protocols."""
+"""Adapters that implement the ports over network protocols."""
--- a/redwingpost/adapters/http_client.py
+++ b/redwingpost/adapters/http_client.py
@@ -1,8 +1,7 @@
-"""A lean HTTP/1.1 client on one kept connection.
+"""A small HTTP/1.1 client on one persistent connection.
 
 ``h11`` frames the messages. ``aiohttp`` costs 18 MB and a third of a
-second at start (measured at import), a quarter of what a whole node may
-use.
+second at import, a quarter of what a whole node process may use.
 """
 
 from asyncio import StreamReader, StreamWriter, open_connection, wait_for
@@ -32,42 +31,45 @@
 
 from redwingpost.ports.clock import Clock
 
-#: Bytes read at once.
-_CHUNK = 65536
+#: Most bytes per read.
+_READ_BYTES = 65536
 
-#: Milliseconds after which unacknowledged bytes end a connection: one
-#: that is cut off would hang otherwise.
+#: Milliseconds after which unacknowledged bytes end a connection. Without
+#: it a connection across a partition would hang.
 _USER_TIMEOUT_MS = 3000
 
-#: A connection that rests is probed after this many seconds, and ended
-#: after as many probes without an answer: one that went silent would
-#: otherwise look like one on which nothing happens.
-_PROBE_AFTER_S = 3
-_PROBE_EVERY_S = 1
-_PROBES = 2
+#: TCP keep-alive: an idle connection is probed after this many seconds,
+#: at this interval (seconds), and ends after this many unanswered probes.
+#: Otherwise a broken connection could not be told from an idle one.
+_KEEPALIVE_IDLE_S = 3
+_KEEPALIVE_INTERVAL_S = 1
+_KEEPALIVE_PROBES = 2
 
-#: Seconds for a connection to open. Packets lost to a cut are sent again
-#: after 1, 3 and 7 s: a new try comes sooner once the cut has ended.
-CONNECT_S = 1.0
+#: Time-out for opening a connection (seconds). TCP resends packets that a
+#: cut dropped after 1, 3 and 7 s, so that a new attempt connects sooner
+#: once the cut has ended.
+CONNECT_TIMEOUT_S = 1.0
 
-#: Seconds that a pooled connection may rest and be trusted all the same.
-#: One that went silent meanwhile holds a call for its whole time limit;
-#: a new one costs a round trip.
-REST_S = 1.0
+#: Seconds for which an idle pooled connection is reused. If it broke
+#: meanwhile, a call on it waits for its whole time-out; a new connection
+#: costs one round trip.
+MAX_IDLE_S = 1.0
 
 
 class HttpAnswer(NamedTuple):
-    """A whole response."""
+    """Status and body of a complete response."""
 
     status: int
     body: bytes
 
 
 class HttpLost(Exception):
-    """No whole response came.
+    """No complete response was received.
 
     Parameters
     ----------
+    detail : str
+        What failed.
     sent : bool
         Whether the request may have arrived.
     """
@@ -78,12 +80,12 @@
 
 
 class HttpClient:
-    """Sends one request at a time; connects again when it must.
+    """Sends one request at a time; reconnects when necessary.
 
     Parameters
     ----------
     ip, port : str, int
-        The server.
+        Address of the server.
     """
 
     def __init__(self, ip: str, port: int) -> None:
@@ -101,19 +103,19 @@
         body: bytes = b"",
         headers: tuple[tuple[str, str], ...] = (),
     ) -> HttpAnswer:
-        """Send a request and return the whole response.
+        """Send a request and return the complete response.
 
         Raises
         ------
         HttpLost
-            If the connection fails or the time is over.
+            If the connection fails or the request times out.
         """
         sent = False
-        self.drop_if_dead()
+        self.close_if_ended()
         try:
             if self._writer is None:
-                patience = min(timeout_s, CONNECT_S)
-                await wait_for(self._connect(), patience)
+                connect_timeout_s = min(timeout_s, CONNECT_TIMEOUT_S)
+                await wait_for(self._connect(), connect_timeout_s)
             sent = True
             exchange = self._exchange(method, target, body, headers)
             return await wait_for(exchange, timeout_s)
@@ -122,16 +124,16 @@
             detail = f"{type(error).__name__} {error}".strip()
             raise HttpLost(detail, sent) from error
         except BaseException:
-            # A cancelled exchange leaves half a response behind, which
-            # the next request would take for its own.
+            # After a cancelled exchange the rest of its response would be
+            # read as the response to the next request.
             self.close()
             raise
 
-    def drop_if_dead(self) -> None:
-        """Close a connection that ended while it rested.
+    def close_if_ended(self) -> None:
+        """Close a connection that ended while it was idle.
 
-        The next request would fail on it at once, although the server
-        can be reached.
+        Otherwise the next request would fail on it, although the server
+        is reachable.
         """
         reader = self._reader
         if reader is None:
@@ -159,10 +161,10 @@
         body: bytes,
         headers: tuple[tuple[str, str], ...],
     ) -> HttpAnswer:
-        lines = [("Host", f"{self._ip}:{self._port}"), *headers]
+        fields = [("Host", f"{self._ip}:{self._port}"), *headers]
         if body or method in ("POST", "PUT"):
-            lines.append(("Content-Length", str(len(body))))
-        head = Request(method=method, target=target, headers=lines)
+            fields.append(("Content-Length", str(len(body))))
+        head = Request(method=method, target=target, headers=fields)
         parts = [self._framing.send(head)]
         if body:
             parts.append(self._framing.send(Data(data=body)))
@@ -181,7 +183,9 @@
         while True:
             event = self._framing.next_event()
             if event is NEED_DATA:
-                self._framing.receive_data(await self._reader.read(_CHUNK))
+                self._framing.receive_data(
+                    await self._reader.read(_READ_BYTES)
+                )
             elif isinstance(event, Response):
                 status = event.status_code
             elif isinstance(event, Data):
@@ -193,10 +197,10 @@
 
 
 class HttpPool:
-    """Sends requests side by side, each on a connection of its own.
+    """Sends concurrent requests, each on a separate connection.
 
-    A connection whose answer is lost would hold up the requests behind
-    it until their time is over.
+    On a shared connection a lost response would delay the requests behind
+    it until they time out.
     """
 
     def __init__(self, ip: str, port: int, clock: Clock) -> None:
@@ -214,7 +218,7 @@
         headers: tuple[tuple[str, str], ...] = (),
     ) -> HttpAnswer:
         """Send a request as ``HttpClient.request`` does."""
-        client = self._take()
+        client = self._take_idle()
         try:
             return await client.request(
                 method, target, timeout_s, body, headers
@@ -223,28 +227,28 @@
             self._idle.append((client, self._clock.now()))
 
     def close(self) -> None:
-        """Close the connections that rest."""
+        """Close the idle connections."""
         for client, _ in self._idle:
             client.close()
         self._idle.clear()
 
-    def _take(self) -> HttpClient:
-        """Return a client whose connection can be trusted, or a new one."""
-        trusted_since = self._clock.now() - REST_S
+    def _take_idle(self) -> HttpClient:
+        """Return an idle client that may be reused, or a new one."""
+        oldest_usable_at = self._clock.now() - MAX_IDLE_S
         while self._idle:
             client, used_at = self._idle.pop()
-            if used_at >= trusted_since:
+            if used_at >= oldest_usable_at:
                 return client
             client.close()
         return HttpClient(self._ip, self._port)
 
 
 def tune_socket(writer: StreamWriter) -> None:
-    """Send small messages at once; notice a peer that is cut off."""
+    """Disable Nagle's algorithm and detect unreachable peers."""
     socket = writer.get_extra_info("socket")
     socket.setsockopt(IPPROTO_TCP, TCP_NODELAY, 1)
     socket.setsockopt(IPPROTO_TCP, TCP_USER_TIMEOUT, _USER_TIMEOUT_MS)
     socket.setsockopt(SOL_SOCKET, SO_KEEPALIVE, 1)
-    socket.setsockopt(IPPROTO_TCP, TCP_KEEPIDLE, _PROBE_AFTER_S)
-    socket.setsockopt(IPPROTO_TCP, TCP_KEEPINTVL, _PROBE_EVERY_S)
-    socket.setsockopt(IPPROTO_TCP, TCP_KEEPCNT, _PROBES)
+    socket.setsockopt(IPPROTO_TCP, TCP_KEEPIDLE, _KEEPALIVE_IDLE_S)
+    socket.setsockopt(IPPROTO_TCP, TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S)
+    socket.setsockopt(IPPROTO_TCP, TCP_KEEPCNT, _KEEPALIVE_PROBES)
--- a/redwingpost/adapters/http_pages.py
+++ b/redwingpost/adapters/http_pages.py
@@ -23,7 +23,7 @@
 )
 from mode import Service
 
-_CHUNK = 16384
+_READ_BYTES = 16384
 
 
 class Page(NamedTuple):
@@ -34,21 +34,22 @@
     content_type: str = "text/plain; charset=utf-8"
 
 
-#: Gets a query and returns a page once there is something to tell.
+#: Takes a query and returns a page as soon as there is new content.
 Feed = Callable[[str], Awaitable[Page]]
 
 
 class PageServer(Service):
-    """Answers GET with what a page's function returns.
+    """Answers GET requests with pages made by functions.
 
     Parameters
     ----------
     ip, port : str, int
-        Where to listen; port 0 takes a free one.
+        Where to listen; port 0 selects a free one.
     pages_by_path : dict of str to callable
-        Each returns a Page.
+        Functions that return a Page.
     feeds_by_path : dict of str to callable, optional
-        Each gets the query and returns a Page when it has one.
+        Coroutine functions that take the query and return a Page when
+        there is new content (long polling).
     """
 
     def __init__(
@@ -83,23 +84,23 @@
     async def _serve(self, reader: StreamReader, writer: StreamWriter) -> None:
         framing = Connection(our_role=SERVER)
         try:
-            while await self._answer_one(framing, reader, writer):
+            while await self._serve_request(framing, reader, writer):
                 framing.start_next_cycle()
         except (OSError, RemoteProtocolError, LocalProtocolError):
-            # The asker went away or doesn't speak HTTP: nothing to say.
+            # The client disconnected or doesn't speak HTTP.
             pass
         finally:
             writer.close()
 
-    async def _answer_one(
+    async def _serve_request(
         self, framing: Connection, reader: StreamReader, writer: StreamWriter
     ) -> bool:
-        """Answer one request; False where the connection must end."""
+        """Answer one request; return whether to keep the connection."""
         page = Page(400)
         while True:
             event = framing.next_event()
             if event is NEED_DATA:
-                framing.receive_data(await reader.read(_CHUNK))
+                framing.receive_data(await reader.read(_READ_BYTES))
             elif isinstance(event, Request):
                 page = await self._page(event)
             elif isinstance(event, EndOfMessage):
@@ -115,10 +116,10 @@
         feed = self._feeds_by_path.get(path)
         if feed is not None and request.method == b"GET":
             return await feed(query)
-        make = self._pages_by_path.get(path)
-        if make is None:
+        make_page = self._pages_by_path.get(path)
+        if make_page is None:
             return Page(404)
-        return make() if request.method == b"GET" else Page(405)
+        return make_page() if request.method == b"GET" else Page(405)
 
 
 def render(framing: Connection, page: Page) -> bytes:
--- a/redwingpost/adapters/link_rules.py
+++ b/redwingpost/adapters/link_rules.py
@@ -1,7 +1,7 @@
-"""Rules for faults of the links between addresses, and what they add up to.
+"""Rules for simulated link faults, and their combined effect on a link.
 
-A rule concerns the connections that this process dials from an address
-in ``from`` to one in ``to``. Pure: no sockets, no clock.
+A rule applies to connections that this process dials from an address in
+``from`` to one in ``to``. The module has no I/O and reads no clock.
 """
 
 from ipaddress import IPv4Network, ip_address, ip_network
@@ -11,8 +11,8 @@
 
 from redwingpost.core import Code, Refusal
 
-#: A lost segment is sent again after the retransmission time-out, 200 ms
-#: at least in common TCP stacks (RTO_MIN); so loss looks like a stall.
+#: TCP resends a lost segment after the retransmission time-out, at least
+#: 200 ms in common stacks (RTO_MIN), so loss is simulated as a stall.
 RETRANSMISSION_S = 0.2
 
 KINDS = ("cut", "delay", "loss")
@@ -21,7 +21,7 @@
 
 
 class LinkRule(NamedTuple):
-    """One rule; ``amount`` is seconds of delay or the share lost."""
+    """One rule; ``amount`` is a delay in seconds or a share of losses."""
 
     source: IPv4Network
     target: IPv4Network
@@ -30,8 +30,8 @@
     amount: float = 0.0
 
 
-class Way(NamedTuple):
-    """What one direction of a link suffers."""
+class Impairment(NamedTuple):
+    """The impairment of one direction of a link."""
 
     is_cut: bool = False
     delay_s: float = 0.0
@@ -39,19 +39,19 @@
 
     @property
     def is_clear(self) -> bool:
-        """Whether bytes pass at once."""
+        """Whether bytes pass without delay."""
         return not (self.is_cut or self.delay_s or self.loss)
 
 
 class LinkEffect(NamedTuple):
-    """What a link suffers, seen from the process that dials."""
+    """The impairments of a link, seen from the process that dials."""
 
-    out: Way = Way()
-    back: Way = Way()
+    out: Impairment = Impairment()
+    back: Impairment = Impairment()
 
     @property
     def is_cut(self) -> bool:
-        """Whether a new connection can't come about."""
+        """Whether a new connection can't be established."""
         return self.out.is_cut or self.back.is_cut
 
 
@@ -96,7 +96,7 @@
 
 
 def parse_rules(given: Any) -> Result[tuple[LinkRule, ...], Refusal]:
-    """Read the body of ``POST /faults/links``.
+    """Parse the body of ``POST /faults/links``.
 
     Examples
     --------
@@ -114,51 +114,51 @@
     if not isinstance(rules, list):
         return Error(Refusal(Code.SETTINGS_INVALID, "rules must be a list"))
     parsed = []
-    for place, rule in enumerate(rules):
+    for index, rule in enumerate(rules):
         try:
             parsed.append(_parse_rule(rule))
-        except ValueError as broken:
-            detail = f"rules[{place}]: {broken}"
+        except ValueError as error:
+            detail = f"rules[{index}]: {error}"
             return Error(Refusal(Code.SETTINGS_INVALID, detail))
     return Ok(tuple(parsed))
 
 
 def render_rule(rule: LinkRule) -> dict[str, Any]:
-    """Return a rule as ``parse_rules`` takes it."""
-    shown: dict[str, Any] = {
+    """Return a rule in the form that ``parse_rules`` accepts."""
+    rendered: dict[str, Any] = {
         "from": str(rule.source),
         "to": str(rule.target),
         "kind": rule.kind,
         "direction": rule.direction,
     }
     if rule.kind == "delay":
-        shown["ms"] = rule.amount * 1000
+        rendered["ms"] = rule.amount * 1000
     if rule.kind == "loss":
-        shown["percent"] = rule.amount * 100
-    return shown
+        rendered["percent"] = rule.amount * 100
+    return rendered
 
 
 def effect(
     rules: tuple[LinkRule, ...], own_ip: str, peer_ip: str
 ) -> LinkEffect:
-    """Return what the rules do to connections dialled to ``peer_ip``.
+    """Return the effect of rules on connections dialled to ``peer_ip``.
 
-    Delays add up; of several losses the largest counts.
+    Delays add up; of several losses the largest applies.
 
     Parameters
     ----------
     rules : tuple of LinkRule
-        All rules in force.
+        All active rules.
     own_ip, peer_ip : str
-        The dialling address and the one dialled.
+        The source and the destination address of the connections.
 
     Returns
     -------
     LinkEffect
-        For each direction.
+        The impairments of both directions.
     """
     own, peer = ip_address(own_ip), ip_address(peer_ip)
-    out = back = Way()
+    out = back = Impairment()
     for rule in rules:
         if own not in rule.source or peer not in rule.target:
             continue
@@ -169,9 +169,9 @@
     return LinkEffect(out, back)
 
 
-def _add(way: Way, rule: LinkRule) -> Way:
+def _add(impairment: Impairment, rule: LinkRule) -> Impairment:
     if rule.kind == "cut":
-        return way._replace(is_cut=True)
+        return impairment._replace(is_cut=True)
     if rule.kind == "delay":
-        return way._replace(delay_s=way.delay_s + rule.amount)
-    return way._replace(loss=max(way.loss, rule.amount))
+        return impairment._replace(delay_s=impairment.delay_s + rule.amount)
+    return impairment._replace(loss=max(impairment.loss, rule.amount))
--- a/redwingpost/adapters/link_transport.py
+++ b/redwingpost/adapters/link_transport.py
@@ -1,8 +1,8 @@
-"""A socket transport whose bytes pass a link that can fail.
+"""A socket transport with simulated link faults.
 
-It takes the place of the loop's own transport for connections that the
-process dials, so every library on the loop is covered (MySQL driver,
-HTTP client, RPC, TLS on top of them).
+It replaces the event loop's transport for connections that the process
+dials, so that it covers every library on the loop (MySQL driver, HTTP
+client, RPC, and TLS on top of them).
 """
 
 from asyncio import AbstractEventLoop, BufferedProtocol
@@ -14,120 +14,132 @@
 
 from redwingpost.adapters.link_rules import (
     RETRANSMISSION_S,
+    Impairment,
     LinkEffect,
-    Way,
 )
 
-#: End of the stream, in a queue of chunks.
-_END = None
+#: Marks the end of the stream in a queue of chunks.
+_END_OF_STREAM = None
 
 
 class Link:
-    """The connections between two addresses and what they suffer.
+    """The connections between two addresses and their impairments.
 
     Parameters
     ----------
     effect : LinkEffect
-        What the rules in force do.
+        Effect of the active rules.
     random : Random
-        Source of losses; seeded, so that runs can be repeated.
+        Source of losses; seeded, so that runs are reproducible.
     """
 
     def __init__(self, effect: LinkEffect, random: Random) -> None:
         self.effect = effect
         self.random = random
         self.transports: set[FaultyTransport] = set()
-        self.lingering: set[Linger] = set()
+        self.delayed_closes: set[DelayedClose] = set()
 
     def change(self, effect: LinkEffect) -> None:
-        """Put another effect in force; what it frees goes on."""
+        """Apply another effect and release the bytes that may now pass."""
         self.effect = effect
         for transport in list(self.transports):
             transport.link_changed()
-        for linger in list(self.lingering):
-            linger.flush()
+        for delayed_close in list(self.delayed_closes):
+            delayed_close.flush()
 
-    def due(self, way: Way, now: float, last_due: float) -> float:
-        """Return when a chunk that enters now comes out; keeps order."""
+    def due_at(
+        self, impairment: Impairment, now: float, last_due_at: float
+    ) -> float:
+        """Return when a chunk queued now is due, in order of arrival."""
         stall = 0.0
-        if way.loss and self.random.random() < way.loss:
+        if impairment.loss and self.random.random() < impairment.loss:
             stall = RETRANSMISSION_S
-        return max(last_due, now + way.delay_s + stall)
+        return max(last_due_at, now + impairment.delay_s + stall)
 
 
-class Queue:
-    """Chunks on their way in one direction, with when they are due."""
+class ChunkQueue:
+    """Chunks in transit in one direction, with the times they are due."""
 
     def __init__(self) -> None:
         self.chunks: deque[tuple[float, bytes | None]] = deque()
         self.size = 0
-        self._last_due = 0.0
+        self._last_due_at = 0.0
 
     def __bool__(self) -> bool:
         return bool(self.chunks)
 
-    def add(self, chunk: bytes | None, link: Link, way: Way, now: float):
-        """Put a chunk in."""
-        self._last_due = link.due(way, now, self._last_due)
-        self.chunks.append((self._last_due, chunk))
+    def add(
+        self,
+        chunk: bytes | None,
+        link: Link,
+        impairment: Impairment,
+        now: float,
+    ):
+        """Append a chunk."""
+        self._last_due_at = link.due_at(impairment, now, self._last_due_at)
+        self.chunks.append((self._last_due_at, chunk))
         self.size += len(chunk or b"")
 
-    def first_due(self) -> float:
-        """Return when the first chunk comes out."""
+    def first_due_at(self) -> float:
+        """Return when the first chunk is due."""
         return self.chunks[0][0]
 
     def take(self) -> bytes | None:
-        """Take the first chunk out."""
+        """Remove and return the first chunk."""
         chunk = self.chunks.popleft()[1]
         self.size -= len(chunk or b"")
         return chunk
 
-    def put_back(self, chunk: bytes) -> None:
-        """Put the rest of a chunk first, due at once."""
+    def requeue(self, chunk: bytes) -> None:
+        """Put the rest of a chunk back in front, due at once."""
         self.chunks.appendleft((0.0, chunk))
         self.size += len(chunk)
 
 
-class Linger:
-    """A closed connection that the other side may not notice yet.
+class DelayedClose:
+    """The socket of a closed connection, kept open until its data passed.
 
-    A process that closes a connection across a cut is not heard: the
-    other side keeps its transaction and its connection slot until the
-    cut heals. Closing the socket at once would send the end through.
+    If a process closes a connection during a cut, the other side is not
+    notified and keeps its transaction and its connection slot until the
+    cut ends. Closing the socket at once would notify it.
     """
 
     def __init__(
-        self, loop: AbstractEventLoop, sock: socket, queue: Queue, link: Link
+        self,
+        loop: AbstractEventLoop,
+        sock: socket,
+        queue: ChunkQueue,
+        link: Link,
     ) -> None:
         self._loop = loop
         self._sock = sock
         self._queue = queue
         self._link = link
-        link.lingering.add(self)
+        link.delayed_closes.add(self)
         self.flush()
 
     def flush(self) -> None:
-        """Send what is due; close for good after the last chunk."""
+        """Send the chunks that are due; close the socket after the last."""
         if self._link.effect.out.is_cut or self._sock is None:
             return
         now = self._loop.time()
-        while self._queue and self._queue.first_due() <= now:
+        while self._queue and self._queue.first_due_at() <= now:
             chunk = self._queue.take()
             try:
-                if chunk is not _END:
+                if chunk is not _END_OF_STREAM:
                     self._sock.send(chunk)
             except OSError:
                 self._queue.chunks.clear()
         if self._queue:
-            self._loop.call_at(self._queue.first_due(), self.flush)
+            self._loop.call_at(self._queue.first_due_at(), self.flush)
             return
-        self._link.lingering.discard(self)
+        self._link.delayed_closes.discard(self)
         self._sock.close()
         self._sock = None
 
 
 class FaultyTransport(_SelectorSocketTransport):
-    """The loop's socket transport behind a link that can fail."""
+    """The event loop's socket transport with simulated link faults."""
 
     def __init__(
         self,
@@ -139,17 +151,17 @@
         extra: dict | None = None,
     ) -> None:
         self._link = link
-        self._outgoing = Queue()
-        self._incoming = Queue()
+        self._outgoing = ChunkQueue()
+        self._incoming = ChunkQueue()
         self._timers: dict[str, Any] = {}
-        self._is_held = False
+        self._is_close_delayed = False
         super().__init__(loop, sock, protocol, waiter, extra, None)
         link.transports.add(self)
 
     # Outgoing bytes.
 
     def write(self, data) -> None:
-        """Send, or queue behind what the link holds."""
+        """Send data, or queue it behind the bytes that the link delays."""
         if not self._outgoing and self._link.effect.out.is_clear:
             super().write(data)
             return
@@ -160,48 +172,50 @@
         self._maybe_pause_protocol()
 
     def write_eof(self) -> None:
-        """End the outgoing stream after what the link holds."""
+        """End the outgoing stream after the bytes that the link delays."""
         if not self._outgoing and self._link.effect.out.is_clear:
             super().write_eof()
         elif not self._eof and not self._closing:
-            self._queue_out(_END)
+            self._queue_out(_END_OF_STREAM)
 
     def get_write_buffer_size(self) -> int:
-        """Return the bytes not yet sent, those on the link included."""
+        """Return the number of unsent bytes, including delayed ones."""
         return super().get_write_buffer_size() + self._outgoing.size
 
     def _queue_out(self, chunk: bytes | None) -> None:
-        way = self._link.effect.out
-        self._outgoing.add(chunk, self._link, way, self._loop.time())
-        self._arm("out", self._outgoing, way, self._flush_out)
+        impairment = self._link.effect.out
+        self._outgoing.add(chunk, self._link, impairment, self._loop.time())
+        self._start_timer("out", self._outgoing, impairment, self._flush_out)
 
     def _flush_out(self) -> None:
         self._timers.pop("out", None)
         now = self._time()
-        while self._is_open(self._outgoing, self._link.effect.out, now):
+        while self._may_pass(self._outgoing, self._link.effect.out, now):
             chunk = self._outgoing.take()
-            if chunk is _END:
+            if chunk is _END_OF_STREAM:
                 super().write_eof()
             else:
                 super().write(chunk)
         if self._loop is not None:
             self._maybe_resume_protocol()
-            way = self._link.effect.out
-            self._arm("out", self._outgoing, way, self._flush_out)
+            impairment = self._link.effect.out
+            self._start_timer(
+                "out", self._outgoing, impairment, self._flush_out
+            )
 
     # Incoming bytes.
 
     def _read_ready(self) -> None:
-        way = self._link.effect.back
-        if not self._incoming and way.is_clear:
+        impairment = self._link.effect.back
+        if not self._incoming and impairment.is_clear:
             super()._read_ready()
-        elif way.is_cut:
-            # The bytes stay in the kernel until the cut heals.
+        elif impairment.is_cut:
+            # The bytes stay in the kernel's buffer until the cut ends.
             self._loop._remove_reader(self._sock_fd)
         else:
-            self._receive(way)
+            self._receive(impairment)
 
-    def _receive(self, way: Way) -> None:
+    def _receive(self, impairment: Impairment) -> None:
         try:
             chunk = self._sock.recv(self.max_size)
         except (BlockingIOError, InterruptedError):
@@ -211,24 +225,28 @@
             return
         if not chunk:
             self._loop._remove_reader(self._sock_fd)
-        self._incoming.add(chunk or _END, self._link, way, self._loop.time())
-        self._arm("in", self._incoming, way, self._deliver)
+        self._incoming.add(
+            chunk or _END_OF_STREAM, self._link, impairment, self._loop.time()
+        )
+        self._start_timer("in", self._incoming, impairment, self._deliver)
 
     def _deliver(self) -> None:
         self._timers.pop("in", None)
         now = self._time()
-        way = self._link.effect.back
-        while not self._paused and self._is_open(self._incoming, way, now):
+        impairment = self._link.effect.back
+        while not self._paused and self._may_pass(
+            self._incoming, impairment, now
+        ):
             chunk = self._incoming.take()
-            if chunk is _END:
+            if chunk is _END_OF_STREAM:
                 self._read_ready__on_eof()
             else:
-                self._hand_over(chunk)
+                self._pass_to_protocol(chunk)
         if self._loop is not None and not self._paused:
-            self._arm("in", self._incoming, way, self._deliver)
+            self._start_timer("in", self._incoming, impairment, self._deliver)
 
-    def _hand_over(self, chunk: bytes) -> None:
-        """Give a chunk to the protocol, which may pause on the way."""
+    def _pass_to_protocol(self, chunk: bytes) -> None:
+        """Pass a chunk to the protocol, which may pause reading."""
         protocol = self._protocol
         if not isinstance(protocol, BufferedProtocol):
             protocol.data_received(chunk)
@@ -240,60 +258,72 @@
             protocol.buffer_updated(count)
             chunk = chunk[count:]
         if chunk and not self._closing:
-            self._incoming.put_back(chunk)
+            self._incoming.requeue(chunk)
 
     def resume_reading(self) -> None:
-        """Go on reading, what the link held first."""
+        """Resume reading, beginning with the delayed bytes."""
         super().resume_reading()
         if self._incoming and not self._closing:
-            way = self._link.effect.back
-            self._arm("in", self._incoming, way, self._deliver)
+            impairment = self._link.effect.back
+            self._start_timer("in", self._incoming, impairment, self._deliver)
 
-    # The link and the end.
+    # Changes of the link, and closing.
 
     def link_changed(self) -> None:
-        """Go on with what the new rules let pass."""
+        """Resume the transfers that the new rules allow."""
         if self._loop is None:
             return
         effect = self._link.effect
-        if not effect.back.is_cut and not self._ends():
+        if not effect.back.is_cut and not self._has_end_of_stream():
             self._add_reader(self._sock_fd, self._read_ready)
-        self._arm("in", self._incoming, effect.back, self._deliver)
-        self._arm("out", self._outgoing, effect.out, self._flush_out)
+        self._start_timer("in", self._incoming, effect.back, self._deliver)
+        self._start_timer("out", self._outgoing, effect.out, self._flush_out)
 
-    def _ends(self) -> bool:
-        return any(chunk is _END for _, chunk in self._incoming.chunks)
+    def _has_end_of_stream(self) -> bool:
+        return any(
+            chunk is _END_OF_STREAM for _, chunk in self._incoming.chunks
+        )
 
     def _time(self) -> float:
         return self._loop.time() if self._loop is not None else 0.0
 
-    def _is_open(self, queue: Queue, way: Way, now: float) -> bool:
-        """Say whether the first chunk may come out now."""
-        if not queue or way.is_cut or self._loop is None:
+    def _may_pass(
+        self, queue: ChunkQueue, impairment: Impairment, now: float
+    ) -> bool:
+        """Return whether the first chunk may pass now."""
+        if not queue or impairment.is_cut or self._loop is None:
             return False
-        return not self._conn_lost and queue.first_due() <= now
+        return not self._conn_lost and queue.first_due_at() <= now
 
-    def _arm(self, name: str, queue: Queue, way: Way, action) -> None:
+    def _start_timer(
+        self, name: str, queue: ChunkQueue, impairment: Impairment, action
+    ) -> None:
         """Call ``action`` when the first chunk is due."""
-        if queue and not way.is_cut and name not in self._timers:
-            self._timers[name] = self._loop.call_at(queue.first_due(), action)
+        if queue and not impairment.is_cut and name not in self._timers:
+            self._timers[name] = self._loop.call_at(
+                queue.first_due_at(), action
+            )
 
     def close(self) -> None:
-        """Close; the other side hears of it as the link allows."""
-        self._hold_socket()
+        """Close; the other side is notified when the link allows it."""
+        self._delay_socket_close()
         super().close()
 
     def _force_close(self, exc) -> None:
-        self._hold_socket()
+        self._delay_socket_close()
         super()._force_close(exc)
 
-    def _hold_socket(self) -> None:
-        cut = self._link.effect.out.is_cut
-        if self._is_held or self._closing or not (cut or self._outgoing):
+    def _delay_socket_close(self) -> None:
+        is_cut = self._link.effect.out.is_cut
+        if (
+            self._is_close_delayed
+            or self._closing
+            or not (is_cut or self._outgoing)
+        ):
             return
-        self._is_held = True
-        pending, self._outgoing = self._outgoing, Queue()
-        Linger(self._loop, self._sock.dup(), pending, self._link)
+        self._is_close_delayed = True
+        pending, self._outgoing = self._outgoing, ChunkQueue()
+        DelayedClose(self._loop, self._sock.dup(), pending, self._link)
 
     def _call_connection_lost(self, exc) -> None:
         self._link.transports.discard(self)
--- a/redwingpost/adapters/links.py
+++ b/redwingpost/adapters/links.py
@@ -1,9 +1,9 @@
-"""Link faults for every connection that this process dials.
+"""Simulated link faults for all connections that this process dials.
 
-For tests and benches only, when the settings say ``[faults] enabled``:
-`install_link_faults` puts a link that can fail under the running loop's
-outgoing connections, and ``/faults/links`` sets the rules. Not installed,
-it costs nothing.
+For tests and benchmarks only, if the settings have ``[faults] enabled``:
+`install_link_faults` adds fault injection to the running event loop's
+outgoing connections, and ``/faults/links`` sets the rules. It has no cost
+unless installed.
 """
 
 from asyncio import AbstractEventLoop, Event, get_running_loop, sleep
@@ -24,42 +24,42 @@
 )
 from redwingpost.adapters.link_transport import FaultyTransport, Link
 
-#: Seed of the losses; runs with the same traffic repeat.
-SEED = 1
+#: Seed of the losses, so that runs with equal traffic are reproducible.
+LOSS_SEED = 1
 
-#: Source addresses that the kernel chose, not the dialler.
+#: Source addresses of sockets that were not bound to an address.
 _UNBOUND = ("0.0.0.0", "127.0.0.1")
 
 
 class LinkFaults:
-    """The rules in force and the links that they concern.
+    """The active rules and the links that they apply to.
 
     Parameters
     ----------
     own_ip : str
-        Address of this process where a socket isn't bound to another.
+        Source address of sockets that are not bound to one.
     """
 
     def __init__(self, own_ip: str) -> None:
         self.own_ip = own_ip
         self.rules: tuple[LinkRule, ...] = ()
         self._links_by_pair: dict[tuple[str, str], Link] = {}
-        self._random = Random(SEED)
+        self._random = Random(LOSS_SEED)
         self._changed = Event()
         self._hooks: _LoopHooks | None = None
 
     def install(self, loop: AbstractEventLoop) -> None:
-        """Put the links under the connections that ``loop`` dials."""
+        """Inject faults into the connections that ``loop`` dials."""
         self._hooks = _LoopHooks(loop, self)
 
     def uninstall(self) -> None:
-        """Give the loop its own methods back."""
+        """Restore the loop's original methods."""
         if self._hooks is not None:
             self._hooks.remove()
             self._hooks = None
 
     def set_rules(self, rules: tuple[LinkRule, ...]) -> None:
-        """Replace the rules; held bytes and connects go on where free."""
+        """Replace the rules; release bytes and connects that may pass."""
         self.rules = rules
         for (own, peer), link in self._links_by_pair.items():
             link.change(effect(rules, own, peer))
@@ -76,8 +76,8 @@
             )
         return self._links_by_pair[pair]
 
-    async def pass_connect(self, own: str, peer: str) -> None:
-        """Wait as long as a handshake takes; for ever during a cut."""
+    async def delay_connect(self, own: str, peer: str) -> None:
+        """Wait as long as a handshake takes, or until a cut ends."""
         link = self.link(own, peer)
         while link.effect.is_cut:
             await self._changed.wait()
@@ -87,24 +87,24 @@
 
 
 class _LoopHooks:
-    """The loop's own methods, with links under dialled connections.
+    """Replacements of loop methods that inject faults when dialling.
 
-    Connecting and the making of transports are the two places that
-    every library's connections pass, whatever it puts on top.
+    Connections of every library are set up by two steps of the loop:
+    connecting the socket and making its transport.
     """
 
     def __init__(self, loop: AbstractEventLoop, faults: LinkFaults) -> None:
         self._loop = loop
         self._faults = faults
         self._connect = loop.sock_connect
-        self._plain = loop._make_socket_transport
-        self._tls = loop._make_ssl_transport
+        self._make_plain_transport = loop._make_socket_transport
+        self._make_tls_transport = loop._make_ssl_transport
         loop.sock_connect = self.sock_connect
         loop._make_socket_transport = self.make_socket_transport
         loop._make_ssl_transport = self.make_ssl_transport
 
     def remove(self) -> None:
-        """Give the loop its own methods back."""
+        """Restore the loop's original methods."""
         for name in (
             "sock_connect",
             "_make_socket_transport",
@@ -113,10 +113,10 @@
             vars(self._loop).pop(name, None)
 
     async def sock_connect(self, sock: socket, address: Any) -> None:
-        """Connect once the link lets a handshake through."""
+        """Connect as soon as the link lets a handshake pass."""
         if sock.family == AF_INET:
             own = sock.getsockname()[0]
-            await self._faults.pass_connect(own, address[0])
+            await self._faults.delay_connect(own, address[0])
         await self._connect(sock, address)
 
     def _link(self, sock: socket) -> Link:
@@ -126,9 +126,9 @@
     def make_socket_transport(
         self, sock, protocol, waiter=None, *, extra=None, server=None
     ):
-        """Return a transport; a faulty one where the process dialled."""
+        """Return a transport, with faults if this process dialled."""
         if server is not None or sock.family != AF_INET:
-            return self._plain(
+            return self._make_plain_transport(
                 sock, protocol, waiter, extra=extra, server=server
             )
         return FaultyTransport(
@@ -148,9 +148,9 @@
         server=None,
         **timeouts,
     ):
-        """Return a TLS transport, on a faulty one where dialled."""
+        """Return a TLS transport, over faults if this process dialled."""
         if server is not None or rawsock.family != AF_INET:
-            return self._tls(
+            return self._make_tls_transport(
                 rawsock,
                 protocol,
                 sslcontext,
@@ -176,17 +176,17 @@
 
 
 def install_link_faults(own_ip: str) -> LinkFaults:
-    """Put links that can fail under the running loop's connections.
+    """Inject link faults into the running loop's outgoing connections.
 
     Parameters
     ----------
     own_ip : str
-        This process's address, which rules' ``from`` is judged by.
+        This process's address, which is compared with the rules' ``from``.
 
     Returns
     -------
     LinkFaults
-        Sets the rules; give it to `mount_link_faults`.
+        The object that sets the rules, for `mount_link_faults`.
     """
     faults = LinkFaults(own_ip)
     faults.install(get_running_loop())
@@ -196,23 +196,23 @@
 def mount_link_faults(application: Application, faults: LinkFaults) -> None:
     """Add ``GET`` and ``POST /faults/links`` to an HTTP application."""
 
-    def shown() -> dict[str, Any]:
+    def rendered_rules() -> dict[str, Any]:
         return {"rules": [render_rule(rule) for rule in faults.rules]}
 
     async def show(request: Request) -> Response:
-        return json_response(shown())
+        return json_response(rendered_rules())
 
     async def replace(request: Request) -> Response:
         try:
             body = decode(await request.read())
-        except DecodeError as broken:
-            return json_response({"error": str(broken)}, status=400)
+        except DecodeError as error:
+            return json_response({"error": str(error)}, status=400)
         rules = parse_rules(body)
         if rules.is_error():
             detail = rules.error.describe()
             return json_response({"error": detail}, status=400)
         faults.set_rules(rules.ok)
-        return json_response(shown())
+        return json_response(rendered_rules())
 
     application.router.add_get("/faults/links", show)
     application.router.add_post("/faults/links", replace)
--- a/redwingpost/adapters/mysql_auth.py
+++ b/redwingpost/adapters/mysql_auth.py
@@ -1,4 +1,4 @@
-"""Prove that a caller holds one of its organisation's keys."""
+"""Authenticate callers by the keys of their organisations."""
 
 from collections.abc import AsyncGenerator
 from hashlib import sha1
@@ -22,17 +22,17 @@
 
 
 class Authenticator(Protocol):
-    """Looks up an organisation's keys."""
+    """Source of the valid keys of organisations."""
 
     def key_hashes(self, organisation: str) -> tuple[str, ...]:
-        """Return SHA1(SHA1(key)) in hex of each valid key."""
+        """Return SHA1(SHA1(key)) in hexadecimal for each valid key."""
 
 
 class KeyAuthPlugin(NativePasswordAuthPlugin):
     """MySQL's native password check against all valid keys.
 
-    The name it reports carries the hash of the key that matched, so that
-    a later withdrawal can be told from the organisation's other keys.
+    The user name that it reports contains the hash of the matching key,
+    so that the connections of a withdrawn key can be identified later.
     """
 
     def __init__(self, authenticator: Authenticator) -> None:
@@ -41,7 +41,7 @@
     async def auth(
         self, auth_info: AuthInfo | None = None
     ) -> AsyncGenerator[Any, AuthInfo]:
-        """Drive the exchange; yields what the library sends."""
+        """Run the challenge and response; yields data for the client."""
         if auth_info and auth_info.handshake_auth_data:
             nonce = auth_info.handshake_auth_data.rstrip(b"\x00")
         else:
@@ -77,18 +77,19 @@
 
 
 class KeyIdentityProvider(IdentityProvider):
-    """Every user name is asked for its key; unknown ones never match.
+    """Accepts every user name and checks its key.
 
-    Telling unknown organisations apart would let a stranger list them.
+    Unknown organisations fail only the key check: a different answer for
+    them would let strangers enumerate organisations.
     """
 
     def __init__(self, authenticator: Authenticator) -> None:
         self._plugin = KeyAuthPlugin(authenticator)
 
     def get_plugins(self) -> list[KeyAuthPlugin]:
-        """Return the one plugin."""
+        """Return the only plugin."""
         return [self._plugin]
 
     async def get_user(self, username: str) -> User:
-        """Return a user of that name."""
+        """Return a user with the given name."""
         return User(name=username, auth_plugin=self._plugin.name)
--- a/redwingpost/adapters/mysql_connection.py
+++ b/redwingpost/adapters/mysql_connection.py
@@ -1,7 +1,7 @@
 """One caller's connection over mysql-mimic: commands and answers.
 
-Statements go to a :class:`StatementHandler`; what comes back is written
-as MySQL packets.
+Statements are passed to a :class:`StatementHandler`, and its answers are
+written as MySQL packets.
 """
 
 from asyncio import timeout as time_limit
@@ -21,7 +21,7 @@
 
 from redwingpost.adapters.mysql_guards import (
     MAX_LONG_DATA_BYTES,
-    is_whole_change_user,
+    is_complete_change_user,
 )
 from redwingpost.adapters.mysql_prepared import (
     ValueType,
@@ -30,25 +30,25 @@
     read_execution,
 )
 from redwingpost.adapters.mysql_stream import (
-    HANDSHAKE_LIMIT_S,
+    HANDSHAKE_TIMEOUT_S,
     MAX_PACKET_BYTES,
 )
 from redwingpost.adapters.mysql_values import make_result_set
 from redwingpost.core import MemberError, Refusal
 from redwingpost.ports import StatementResult
 
-#: Prepared statements of one connection. MySQL allows 16,382 in a whole
-#: server; a caller that prepares without closing is stopped here.
+#: Most prepared statements of one connection. MySQL allows 16,382 in a
+#: whole server; this limit stops a caller that never closes any.
 MAX_PREPARED = 1024
 
-_TOO_MANY_PREPARED = 1461
+_ER_MAX_PREPARED_STMT_COUNT_REACHED = 1461
 
-#: Answer to a statement: a result, a refusal of ours, a member's error.
+#: Answer to a statement: a result, the proxy's refusal or a member's error.
 Answer = Result[StatementResult, Refusal | MemberError]
 
 
 class StatementHandler(Protocol):
-    """What the proxy does for one caller's connection."""
+    """Runs the commands of one caller's connection."""
 
     async def handle(self, sql: str, attributes: dict[str, str]) -> Answer:
         """Run a statement."""
@@ -57,94 +57,95 @@
         """Change the connection's database group."""
 
     async def reset(self) -> None:
-        """Forget the connection's state, as COM_RESET_CONNECTION asks."""
+        """Reset the connection's state, for COM_RESET_CONNECTION."""
 
     async def close(self) -> None:
-        """Roll back what is open: the client is gone."""
+        """Roll back an open transaction after the client disconnected."""
 
     @property
     def in_transaction(self) -> bool:
-        """Say whether a transaction is open."""
+        """Whether a transaction is open."""
 
     @property
     def autocommit(self) -> bool:
-        """Say whether each statement commits by itself."""
+        """Whether each statement commits by itself."""
 
 
-#: Makes the handler: organisation, key hash, database group, connection.
+#: Makes a handler from organisation, key hash, database group and the
+#: connection's number.
 HandlerFactory = Callable[[str, str, str, int], StatementHandler]
 
 
 class CallerConnection(Connection):
-    """A connection that checks its key and reports writes whole."""
+    """A connection that checks its key and reports the result of writes."""
 
     def __init__(self, **kwargs: Any) -> None:
         super().__init__(**kwargs)
-        # Drivers skip SET autocommit where the greeting already says it.
+        # Drivers skip SET autocommit if the greeting has the flag set.
         self.status_flags = ServerStatus.SERVER_STATUS_AUTOCOMMIT
         self._types_by_statement: dict[int, tuple[ValueType, ...]] = {}
 
     @property
     def client_charset(self) -> CharacterSet:
-        """Latin-1, which keeps every byte until the session decodes it.
+        """Latin-1, which preserves every byte until the session decodes it.
 
-        A blob inside a literal isn't UTF-8; the library's strict decoding
-        would refuse the statement.
+        The library's strict UTF-8 decoding would reject a statement with
+        binary data in a literal.
         """
         return CharacterSet.latin1
 
     async def authenticate(self, *args: Any, **kwargs: Any) -> None:
-        """Check the key; an unproven caller gets no further.
+        """Check the key and close the connection if it is wrong.
 
-        The library goes on to the command phase after a failed check.
-        Without the second check a stranger could send statements, and a
-        failed change of user could go on as the former one: the
-        connection is cut instead.
+        The library enters the command phase after a failed check. Without
+        the check of the user name here, a client without a key could send
+        statements, and a failed change of user could continue as the
+        former user.
         """
         self.session.username = None
         await super().authenticate(*args, **kwargs)
         if self.session.username is None:
-            self.stream.cut_off()
+            self.stream.refuse_packets()
             raise ConnectionClosed()
 
     async def connection_phase(self) -> None:
-        """Run the handshake within its time and size limits."""
-        async with time_limit(HANDSHAKE_LIMIT_S):
+        """Run the handshake within its limits of time and size."""
+        async with time_limit(HANDSHAKE_TIMEOUT_S):
             await super().connection_phase()
         self.stream.limit = MAX_PACKET_BYTES
 
     async def handle_change_user(self, data: bytes) -> None:
-        """Change the caller: nothing of the former one is kept."""
-        if not is_whole_change_user(data):
-            self.stream.cut_off()
+        """Change the caller and discard the former one's state."""
+        if not is_complete_change_user(data):
+            self.stream.refuse_packets()
             raise MysqlError("malformed packet", ErrorCode.MALFORMED_PACKET)
-        await self.session.abandon()
+        await self.session.close_handler()
         await super().handle_change_user(data)
-        self.session.begin()
+        self.session.start_handler()
 
     async def handle_reset_connection(self, data: bytes) -> None:
-        """Forget the state; the library would only answer OK."""
+        """Reset the state; the library would only answer OK."""
         await self.session.handler.reset()
         await self.stream.write(self.ok())
 
     async def handle_field_list(self, data: bytes) -> None:
-        """Refuse COM_FIELD_LIST, which MySQL has given up."""
+        """Refuse COM_FIELD_LIST, which MySQL has deprecated."""
         raise MysqlError("unsupported", ErrorCode.UNKNOWN_COM_ERROR)
 
     async def handle_stmt_send_long_data(self, data: bytes) -> None:
-        """Keep a value for an execution, within the connection's bound.
+        """Store a value for an execution, within the connection's limit.
 
-        Such a packet isn't answered, so a caller that sends too much is
-        cut off at its next packet.
+        This command has no response, so if the limit is exceeded the
+        connection closes at the next packet.
         """
         await super().handle_stmt_send_long_data(data)
-        held = sum(
+        held_bytes = sum(
             len(buffer)
             for statement in self.prepared_stmts.values()
             for buffer in (statement.param_buffers or {}).values()
         )
-        if held > MAX_LONG_DATA_BYTES:
-            self.stream.cut_off()
+        if held_bytes > MAX_LONG_DATA_BYTES:
+            self.stream.refuse_packets()
 
     async def handle_stmt_prepare(self, data: bytes) -> None:
         """Prepare a statement; it runs when it is executed."""
@@ -156,26 +157,26 @@
         )
         if len(self.prepared_stmts) >= MAX_PREPARED:
             detail = f"more than {MAX_PREPARED} prepared statements"
-            raise MysqlError(detail, _TOO_MANY_PREPARED)
+            raise MysqlError(detail, _ER_MAX_PREPARED_STMT_COUNT_REACHED)
         self.prepared_stmts[statement.stmt_id] = statement
         for packet in self.com_stmt_prepare_response(statement):
             await self.stream.write(packet, drain=False)
         await self.stream.drain()
 
     async def handle_stmt_execute(self, data: bytes) -> None:
-        """Run a prepared statement with its values as safe literals."""
-        number = int.from_bytes(data[:4], "little")
-        statement = self.get_stmt(number)
+        """Run a prepared statement with its values as escaped literals."""
+        stmt_id = int.from_bytes(data[:4], "little")
+        statement = self.get_stmt(stmt_id)
         buffers = statement.param_buffers or {}
         statement.param_buffers = None
         execution = read_execution(
             data[4:],
             self.capabilities,
             statement.sql,
-            self._types_by_statement.get(number, ()),
+            self._types_by_statement.get(stmt_id, ()),
             buffers,
         )
-        self._types_by_statement[number] = execution.types
+        self._types_by_statement[stmt_id] = execution.types
         result_set = await self.session.run(
             execution.sql, execution.attributes
         )
@@ -213,19 +214,19 @@
         await write(self.ok_or_eof())
 
     async def handle_stmt_reset(self, data: bytes) -> None:
-        """Drop sent values and the cursor, not the transaction."""
+        """Discard stored values and the cursor, not the transaction."""
         statement = self.get_stmt(read_uint_4(BytesIO(data)))
         statement.param_buffers = None
         statement.cursor = None
         await self.stream.write(self.ok())
 
     async def handle_stmt_close(self, data: bytes) -> None:
-        """Forget a prepared statement."""
+        """Remove a prepared statement."""
         await super().handle_stmt_close(data)
         self._types_by_statement.pop(int.from_bytes(data[:4], "little"), None)
 
     def ok(self, **kwargs: Any) -> bytes:
-        """Return an OK packet with what the last write reported."""
+        """Return an OK packet with the result of the last write."""
         result = self.session.take_result()
         if result is not None and "affected_rows" not in kwargs:
             kwargs["affected_rows"] = result.affected_rows
@@ -234,7 +235,7 @@
 
 
 class CallerSession(Session):
-    """The library's session, delegating to a statement handler."""
+    """A session of the library that delegates to a statement handler."""
 
     handler: StatementHandler
 
@@ -245,12 +246,12 @@
         self._started = False
 
     async def init(self, connection: Connection) -> None:
-        """Start the caller's handler once the key has been proven."""
+        """Start the caller's handler after the key check."""
         await super().init(connection)
-        self.begin()
+        self.start_handler()
 
-    def begin(self) -> None:
-        """Make a handler for the organisation whose key was proven."""
+    def start_handler(self) -> None:
+        """Make a handler for the authenticated organisation."""
         key_hash, _, organisation = self.username.partition(":")
         self.handler = self._make_handler(
             organisation,
@@ -261,12 +262,12 @@
         self._started = True
 
     def take_result(self) -> StatementResult | None:
-        """Return the last plain result once."""
+        """Return and clear the last result without columns."""
         result, self._result = self._result, None
         return result
 
     async def handle_query(self, sql: str, attrs: dict[str, str]) -> Any:
-        """Run a statement that the library read as Latin-1."""
+        """Run a statement that the library decoded as Latin-1."""
         attributes = {
             _decode_latin1(name): _decode_latin1(str(value))
             for name, value in attrs.items()
@@ -276,14 +277,14 @@
     async def run(self, sql: str, attrs: dict[str, str]) -> ResultSet | None:
         """Run a statement through the handler."""
         answer = await self.handler.handle(sql, attrs)
-        self._show_transaction()
+        self._update_status_flags()
         if answer.is_error():
             raise _make_error(answer.error)
         result = answer.ok
         self._result = None if result.columns else result
         return make_result_set(result)
 
-    def _show_transaction(self) -> None:
+    def _update_status_flags(self) -> None:
         flags = ServerStatus(0)
         if self.handler.autocommit:
             flags |= ServerStatus.SERVER_STATUS_AUTOCOMMIT
@@ -299,15 +300,15 @@
             raise _make_error(used.error)
         self.database = database
 
-    async def abandon(self) -> None:
-        """Drop the handler with whatever it has open."""
+    async def close_handler(self) -> None:
+        """Close the handler and roll back an open transaction."""
         if self._started:
             self._started = False
             await self.handler.close()
 
     async def close(self) -> None:
-        """Drop the handler: the client is gone."""
-        await self.abandon()
+        """Close the handler after the client disconnected."""
+        await self.close_handler()
         await super().close()
 
 
--- a/redwingpost/adapters/mysql_guards.py
+++ b/redwingpost/adapters/mysql_guards.py
@@ -1,78 +1,78 @@
-"""Guards before the protocol library's readers of callers' packets.
+"""Validation of callers' packets before the protocol library parses them.
 
-The library reads a text up to its zero byte and never looks whether the
-packet has ended. A packet without the zero byte, which anyone who reaches
-the port may send before any key is checked, would keep the one loop busy
-for ever: the VM would answer nobody, and use a whole core.
+The library reads a string up to its zero byte without checking for the
+end of the packet. A packet without the zero byte, which any client can
+send before the key check, would block the event loop for ever: the VM
+would answer nobody and use a whole core.
 """
 
 from mysql_mimic.constants import DEFAULT_SERVER_CAPABILITIES
 from mysql_mimic.types import Capabilities
 
-#: Bytes of an SSLRequest, and of a handshake response before its texts.
-HEAD_BYTES = 32
+#: Bytes of an SSLRequest, and of a handshake response before its strings.
+FIXED_HEAD_BYTES = 32
 
-#: Bytes of values that one connection may send ahead of its executions.
+#: Most bytes of values that one connection may send before executions.
 MAX_LONG_DATA_BYTES = 16 * 1024 * 1024
 
-#: First byte of a length-encoded number -> how many bytes follow.
+#: Number of following bytes by the first byte of a length-encoded number.
 _FOLLOWING_BY_MARK = {0xFC: 2, 0xFD: 3, 0xFE: 8}
 
 
-def is_whole_handshake(data: bytes) -> bool:
-    """Say whether every text in a handshake response ends.
+def is_complete_handshake(data: bytes) -> bool:
+    """Return whether every string in a handshake response is terminated.
 
-    An SSLRequest and what is no longer holds no text.
+    An SSLRequest, and any packet that is no longer, contains no string.
 
     Examples
     --------
     >>> plain = bytes(4) + b"x" * 28
-    >>> is_whole_handshake(plain), is_whole_handshake(plain + b"puno")
+    >>> is_complete_handshake(plain), is_complete_handshake(plain + b"puno")
     (True, False)
-    >>> is_whole_handshake(plain + b"puno\\0" + b"\\x02ab")
+    >>> is_complete_handshake(plain + b"puno\\0" + b"\\x02ab")
     True
     """
-    if len(data) <= HEAD_BYTES:
+    if len(data) <= FIXED_HEAD_BYTES:
         return True
     flags = Capabilities(int.from_bytes(data[:4], "little"))
     flags &= DEFAULT_SERVER_CAPABILITIES
-    at = data.find(0, HEAD_BYTES) + 1
-    if at == 0:
+    offset = data.find(0, FIXED_HEAD_BYTES) + 1
+    if offset == 0:
         return False
     if Capabilities.CLIENT_PLUGIN_AUTH_LENENC_CLIENT_DATA in flags:
-        at = _after_counted(data, at)
+        offset = _skip_length_encoded(data, offset)
     else:
-        at += 1 + (data[at] if at < len(data) else len(data))
+        offset += 1 + (data[offset] if offset < len(data) else len(data))
     for flag in (
         Capabilities.CLIENT_CONNECT_WITH_DB,
         Capabilities.CLIENT_PLUGIN_AUTH,
     ):
         if flag in flags:
-            at = data.find(0, at) + 1
-            if at == 0:
+            offset = data.find(0, offset) + 1
+            if offset == 0:
                 return False
-    return at <= len(data)
+    return offset <= len(data)
 
 
-def _after_counted(data: bytes, at: int) -> int:
-    """Return the place after a text whose length stands before it."""
-    if at >= len(data):
+def _skip_length_encoded(data: bytes, offset: int) -> int:
+    """Return the offset behind a length-encoded string."""
+    if offset >= len(data):
         return len(data) + 1
-    following = _FOLLOWING_BY_MARK.get(data[at], 0)
-    start = at + 1 + following
+    following = _FOLLOWING_BY_MARK.get(data[offset], 0)
+    start = offset + 1 + following
     if not following:
-        return start + data[at]
-    return start + int.from_bytes(data[at + 1 : start], "little")
+        return start + data[offset]
+    return start + int.from_bytes(data[offset + 1 : start], "little")
 
 
-def is_whole_change_user(data: bytes) -> bool:
-    """Say whether every text in a COM_CHANGE_USER ends.
+def is_complete_change_user(data: bytes) -> bool:
+    """Return whether every string in a COM_CHANGE_USER is terminated.
 
     Examples
     --------
-    >>> is_whole_change_user(b"puno\\0\\x02ab" + b"g\\0" + b"!\\0plugin\\0")
+    >>> is_complete_change_user(b"puno\\0\\x02ab" + b"g\\0" + b"!\\0plugin\\0")
     True
-    >>> is_whole_change_user(b"puno")
+    >>> is_complete_change_user(b"puno")
     False
     """
     user_end = data.find(0)
--- a/redwingpost/adapters/mysql_prepared.py
+++ b/redwingpost/adapters/mysql_prepared.py
@@ -1,9 +1,10 @@
-"""Prepared statements: read their values, write them as safe literals.
+"""Prepared statements: decode their values and write escaped literals.
 
-The library puts values into the text as they are, so that a quote in a
+The library inserts values into the text unescaped, so that a quote in a
 value would end its literal and run the rest as SQL, and a question mark
-in a value would swallow the next one. Here placeholders are found outside
-literals and comments, once, and each value is escaped by its type.
+in a value would be replaced by the next value. Here placeholders are
+found once, outside literals and comments, and each value is escaped
+according to its type.
 
 References
 ----------
@@ -41,11 +42,11 @@
 _PARAMETER_COUNT_AVAILABLE = 0x08
 _UNSIGNED = 0x80
 
-#: Values of one statement; MySQL's own limit.
+#: Most values of one statement, which is MySQL's own limit.
 MAX_VALUES = 65_535
 
-# What doesn't close reaches to the end and isn't tried again: see the
-# patterns of ``proxy.classify``.
+# An unterminated literal or comment extends to the end and is not matched
+# again by backtracking: see the patterns of ``proxy.classify``.
 _PLACEHOLDER = re_compile(
     r"'(?:[^'\\]|\\.|'')*+(?:'|\\?\Z)"
     r'|"(?:[^"\\]|\\.|"")*+(?:"|\\?\Z)'
@@ -68,7 +69,7 @@
 
 
 class ValueType(NamedTuple):
-    """A value's type as the driver bound it."""
+    """Name and type of a value as bound by the driver."""
 
     name: str
     type_code: int
@@ -76,7 +77,7 @@
 
 
 class Execution(NamedTuple):
-    """One execution of a prepared statement."""
+    """One execution of a prepared statement, with its values inserted."""
 
     sql: str
     attributes: dict[str, str]
@@ -84,12 +85,13 @@
     use_cursor: bool
 
 
-#: Reader of a value: stream, unsigned -> SQL literal.
+#: Reads a value from a stream, given whether it is unsigned, and returns
+#: it as an SQL literal.
 Reader = Callable[[BytesIO, bool], str]
 _READERS: Registry[Reader] = Registry("parameter type")
 
 
-def _reads(*types: ColumnType) -> Callable[[Reader], Reader]:
+def _reader_for(*types: ColumnType) -> Callable[[Reader], Reader]:
     def add(reader: Reader) -> Reader:
         for column_type in types:
             _READERS.register(column_type.name)(reader)
@@ -99,7 +101,7 @@
 
 
 def decode_text(raw: bytes) -> str:
-    """Return a driver's bytes as text that keeps every byte.
+    """Decode a driver's bytes so that every byte is preserved.
 
     Examples
     --------
@@ -120,7 +122,7 @@
     return f"'{decode_text(raw).translate(_ESCAPES)}'"
 
 
-@_reads(
+@_reader_for(
     ColumnType.VARCHAR,
     ColumnType.VAR_STRING,
     ColumnType.STRING,
@@ -134,7 +136,7 @@
     return quote(read_str_len(stream))
 
 
-@_reads(
+@_reader_for(
     ColumnType.BLOB,
     ColumnType.TINY_BLOB,
     ColumnType.MEDIUM_BLOB,
@@ -146,8 +148,8 @@
 
 
 def _quote_blob(raw: bytes) -> str:
-    # Drivers send text as a BLOB too; hex would make it a binary string
-    # to the member, so only what isn't text is written as hex.
+    # Drivers send text as BLOB too. The member would treat hexadecimal as
+    # a binary string, so only values that aren't UTF-8 are written so.
     try:
         bytes(raw).decode()
     except UnicodeDecodeError:
@@ -155,42 +157,42 @@
     return quote(raw)
 
 
-@_reads(ColumnType.TINY, ColumnType.BOOL)
+@_reader_for(ColumnType.TINY, ColumnType.BOOL)
 def _read_tiny(stream: BytesIO, unsigned: bool) -> str:
     return str((read_uint_1 if unsigned else read_int_1)(stream))
 
 
-@_reads(ColumnType.SHORT, ColumnType.YEAR)
+@_reader_for(ColumnType.SHORT, ColumnType.YEAR)
 def _read_short(stream: BytesIO, unsigned: bool) -> str:
     return str((read_uint_2 if unsigned else read_int_2)(stream))
 
 
-@_reads(ColumnType.LONG, ColumnType.INT24)
+@_reader_for(ColumnType.LONG, ColumnType.INT24)
 def _read_long(stream: BytesIO, unsigned: bool) -> str:
     return str((read_uint_4 if unsigned else read_int_4)(stream))
 
 
-@_reads(ColumnType.LONGLONG)
+@_reader_for(ColumnType.LONGLONG)
 def _read_long_long(stream: BytesIO, unsigned: bool) -> str:
     return str((read_uint_8 if unsigned else read_int_8)(stream))
 
 
-@_reads(ColumnType.FLOAT)
+@_reader_for(ColumnType.FLOAT)
 def _read_float(stream: BytesIO, _unsigned: bool) -> str:
     return repr(read_float(stream))
 
 
-@_reads(ColumnType.DOUBLE)
+@_reader_for(ColumnType.DOUBLE)
 def _read_double(stream: BytesIO, _unsigned: bool) -> str:
     return repr(read_double(stream))
 
 
-@_reads(ColumnType.NULL)
+@_reader_for(ColumnType.NULL)
 def _read_null(_stream: BytesIO, _unsigned: bool) -> str:
     return "NULL"
 
 
-@_reads(ColumnType.DATE, ColumnType.DATETIME, ColumnType.TIMESTAMP)
+@_reader_for(ColumnType.DATE, ColumnType.DATETIME, ColumnType.TIMESTAMP)
 def _read_datetime(stream: BytesIO, _unsigned: bool) -> str:
     length = read_uint_1(stream)
     year, month, day = 0, 0, 0
@@ -205,7 +207,7 @@
     return f"'{text}'"
 
 
-@_reads(ColumnType.TIME)
+@_reader_for(ColumnType.TIME)
 def _read_time(stream: BytesIO, _unsigned: bool) -> str:
     length = read_uint_1(stream)
     if length == 0:
@@ -244,7 +246,7 @@
 
 
 def count_placeholders(sql: str) -> int:
-    """Return how many values a statement takes."""
+    """Return the number of placeholders of a statement."""
     return len(split_placeholders(sql)) - 1
 
 
@@ -255,25 +257,25 @@
     known_types: tuple[ValueType, ...],
     buffers: dict[int, bytearray],
 ) -> Execution:
-    """Read a COM_STMT_EXECUTE payload.
+    """Decode the payload of COM_STMT_EXECUTE.
 
     Parameters
     ----------
     data : bytes
-        The payload behind the statement's number.
+        The payload after the statement's number.
     capabilities : Capabilities
-        Of the connection.
+        The connection's capabilities.
     sql : str
         The prepared statement.
     known_types : tuple of ValueType
-        Types of the last execution: a driver leaves unchanged ones out.
+        Types of the last execution; drivers omit unchanged types.
     buffers : dict
-        Values sent beforehand with COM_STMT_SEND_LONG_DATA, by place.
+        Values sent before with COM_STMT_SEND_LONG_DATA, by index.
 
     Raises
     ------
     MysqlError
-        For a payload that breaks the protocol.
+        If the payload is malformed.
     """
     try:
         return _read_execution(data, capabilities, sql, known_types, buffers)
@@ -294,35 +296,39 @@
     flags = read_uint_1(stream)
     read_uint_4(stream)
     pieces = split_placeholders(sql)
-    wanted = len(pieces) - 1
-    named = Capabilities.CLIENT_QUERY_ATTRIBUTES in capabilities
-    count = wanted
-    if named and (wanted or flags & _PARAMETER_COUNT_AVAILABLE):
-        count = read_uint_len(stream)
-    if not wanted <= count <= MAX_VALUES:
-        raise ValueError(f"{count} values for {wanted} placeholders")
+    placeholder_count = len(pieces) - 1
+    has_names = Capabilities.CLIENT_QUERY_ATTRIBUTES in capabilities
+    value_count = placeholder_count
+    if has_names and (placeholder_count or flags & _PARAMETER_COUNT_AVAILABLE):
+        value_count = read_uint_len(stream)
+    if not placeholder_count <= value_count <= MAX_VALUES:
+        raise ValueError(
+            f"{value_count} values for {placeholder_count} placeholders"
+        )
     types, literals = known_types, []
-    if count:
-        nulls = stream.read((count + 7) // 8)
+    if value_count:
+        nulls = stream.read((value_count + 7) // 8)
         if read_uint_1(stream):
-            types = _read_types(stream, count, named)
+            types = _read_types(stream, value_count, has_names)
         literals = _read_literals(stream, types, nulls, buffers)
     return Execution(
-        sql=_join(pieces, literals[:wanted]),
-        attributes=_read_attributes(types[wanted:], literals[wanted:]),
+        sql=_join(pieces, literals[:placeholder_count]),
+        attributes=_read_attributes(
+            types[placeholder_count:], literals[placeholder_count:]
+        ),
         types=types,
         use_cursor=bool(flags & _CURSOR_READ_ONLY),
     )
 
 
 def _read_types(
-    stream: BytesIO, count: int, named: bool
+    stream: BytesIO, value_count: int, has_names: bool
 ) -> tuple[ValueType, ...]:
     types = []
-    for _ in range(count):
+    for _ in range(value_count):
         code = read_uint_1(stream)
         unsigned = bool(read_uint_1(stream) & _UNSIGNED)
-        name = decode_text(read_str_len(stream)) if named else ""
+        name = decode_text(read_str_len(stream)) if has_names else ""
         types.append(ValueType(name, code, unsigned))
     return tuple(types)
 
@@ -334,11 +340,11 @@
     buffers: dict[int, bytearray],
 ) -> list[str]:
     literals = []
-    for place, value_type in enumerate(types):
-        if nulls[place // 8] >> place % 8 & 1:
+    for index, value_type in enumerate(types):
+        if nulls[index // 8] >> index % 8 & 1:
             literals.append("NULL")
-        elif place in buffers:
-            literals.append(_quote_blob(buffers[place]))
+        elif index in buffers:
+            literals.append(_quote_blob(buffers[index]))
         else:
             name = ColumnType(value_type.type_code).name
             read = _READERS.get(name)
--- a/redwingpost/adapters/mysql_server.py
+++ b/redwingpost/adapters/mysql_server.py
@@ -42,19 +42,19 @@
 
 
 class CallerServer(Service):
-    """Listens for callers.
+    """Accepts callers' connections.
 
     Parameters
     ----------
     ip, port : str, int
-        Where to listen; port 0 takes a free one.
+        Where to listen; port 0 selects a free one.
     authenticator : Authenticator
-        The valid keys.
+        Source of the valid keys.
     make_handler : callable
         Makes the handler of a connection.
     tls : callable, optional
-        Returns the context to offer TLS with, or None. Asked at each
-        connection, so that a renewed certificate needs no restart.
+        Returns the context to offer TLS with, or None. It is called for
+        each connection, so that a renewed certificate needs no restart.
     """
 
     def __init__(
@@ -93,7 +93,7 @@
         )
 
     def stop_accepting(self) -> None:
-        """Close the listening socket; open connections go on."""
+        """Close the listening socket; open connections continue."""
         if self._server is not None:
             self._server.close()
 
@@ -106,9 +106,8 @@
         await gather(*tasks, return_exceptions=True)
 
     def _accept(self, reader: StreamReader, writer: StreamWriter) -> None:
-        # A plain function: the stream library logs a traceback for each
-        # coroutine of its own that is cancelled, which a planned stop
-        # does to every connection.
+        # Not a coroutine: asyncio's streams log a traceback for each
+        # cancelled connection coroutine, and a planned stop cancels all.
         task = create_task(self._serve(reader, writer))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -126,13 +125,13 @@
         try:
             await connection.start()
         except (TimeoutError, SSLError, MysqlError):
-            logger.info("connection {}: no handshake", number)
+            logger.info("connection {}: handshake failed", number)
         except (ConnectionClosed, OSError, EOFError, IncompleteReadError):
             logger.debug("connection {} ended", number)
         except CancelledError:
-            logger.debug("connection {} stopped", number)
+            logger.debug("connection {} cancelled", number)
         except Exception:
-            logger.exception("connection {}", number)
+            logger.exception("connection {} failed", number)
         finally:
             writer.close()
             await self._control.remove(number)
--- a/redwingpost/adapters/mysql_stream.py
+++ b/redwingpost/adapters/mysql_stream.py
@@ -1,4 +1,4 @@
-"""Packets of a caller's connection: bounded, and over TLS if asked."""
+"""Packet stream of a caller's connection, with size limits and TLS."""
 
 from asyncio import StreamReader, StreamWriter, get_running_loop
 from asyncio.sslproto import SSLProtocol
@@ -6,31 +6,33 @@
 
 from mysql_mimic.stream import ConnectionClosed, MysqlStream
 
-from redwingpost.adapters.mysql_guards import is_whole_handshake
+from redwingpost.adapters.mysql_guards import is_complete_handshake
 
-#: Seconds a client has for the handshake. Without a limit a scanner that
-#: connects and says nothing would hold a connection for ever.
-HANDSHAKE_LIMIT_S = 10.0
+#: Time-out of the handshake (seconds). Without it a scanner that connects
+#: and sends nothing would hold a connection for ever.
+HANDSHAKE_TIMEOUT_S = 10.0
 
-#: Bytes of one caller packet; MySQL's own default for a replica-safe
-#: statement is 64 MiB, plans and schedules stay far below 16 MiB.
+#: Most bytes of one packet from a caller. MySQL's default for a
+#: replica-safe statement is 64 MiB; callers' largest statements (plans
+#: and schedules) stay far below 16 MiB.
 MAX_PACKET_BYTES = 16 * 1024 * 1024
 
-#: Bytes of a packet before the key is checked: a stranger gets no more.
+#: Most bytes of a packet before the key check, when the client is unknown.
 MAX_HANDSHAKE_BYTES = 64 * 1024
 
-#: Limit of a stream that takes no further packet, not even an empty one.
-_CUT_OFF = -1
+#: Limit of a stream that refuses every packet, even an empty one.
+_REFUSE_ALL = -1
 
 _HEADER_BYTES = 4
 
 
 class BoundedStream:
-    """Packets of bounded size.
+    """A packet stream with a limit on the size of packets.
 
     The library joins continuation packets without limit, so that one
-    client could fill the memory; it is cut off instead. The library's
-    stream is compiled and can't be inherited from, so it is wrapped.
+    client could exhaust the memory; here its connection ends instead.
+    The library's stream is compiled and can't be subclassed, so it is
+    wrapped.
     """
 
     def __init__(self, reader: StreamReader, writer: StreamWriter) -> None:
@@ -63,45 +65,45 @@
             data += await self._reader.readexactly(length)
             if length < 0xFFFFFF:
                 in_handshake = self.limit == MAX_HANDSHAKE_BYTES
-                if in_handshake and not is_whole_handshake(data):
+                if in_handshake and not is_complete_handshake(data):
                     raise ConnectionClosed()
                 return data
 
-    def cut_off(self) -> None:
-        """Take no further packet, not even an empty one."""
-        self.limit = _CUT_OFF
+    def refuse_packets(self) -> None:
+        """Refuse every further packet, even an empty one."""
+        self.limit = _REFUSE_ALL
 
     async def start_tls(self, context: SSLContext) -> None:
-        """Go on over TLS.
+        """Switch the connection to TLS.
 
-        A driver doesn't wait between its request for TLS and the first
-        bytes of it. Where both arrive together the reader has them, and
-        the loop's own ``start_tls`` would wait for bytes that have come:
-        the handshake fails now and then, above all on a busy VM. So what
-        has been read is handed to the TLS protocol first.
+        A driver sends the first TLS bytes right after its request for
+        TLS. If both arrive together, those bytes are already in the
+        reader's buffer, and the loop's own ``start_tls`` would wait for
+        them: handshakes would fail now and then, mostly on a busy VM. So
+        buffered bytes are passed to the TLS protocol first.
         """
-        hello = await self._reader.read(MAX_HANDSHAKE_BYTES)
-        if not hello:
+        first_bytes = await self._reader.read(MAX_HANDSHAKE_BYTES)
+        if not first_bytes:
             raise ConnectionClosed()
         transport = self._writer.transport
         loop = get_running_loop()
-        done = loop.create_future()
+        handshake_done = loop.create_future()
         protocol = SSLProtocol(
             loop,
             transport.get_protocol(),
             context,
-            done,
+            handshake_done,
             server_side=True,
             call_connection_made=False,
-            ssl_handshake_timeout=HANDSHAKE_LIMIT_S,
+            ssl_handshake_timeout=HANDSHAKE_TIMEOUT_S,
         )
         transport.pause_reading()
         transport.set_protocol(protocol)
         protocol.connection_made(transport)
-        protocol.get_buffer(len(hello))[: len(hello)] = hello
-        protocol.buffer_updated(len(hello))
+        protocol.get_buffer(len(first_bytes))[: len(first_bytes)] = first_bytes
+        protocol.buffer_updated(len(first_bytes))
         transport.resume_reading()
-        await done
-        # Streams have no public way to change their transport either.
+        await handshake_done
+        # Streams have no public method to change their transport.
         self._writer._transport = protocol._app_transport
         self._reader._transport = protocol._app_transport
--- a/redwingpost/adapters/mysql_target.py
+++ b/redwingpost/adapters/mysql_target.py
@@ -1,7 +1,7 @@
-"""The target port over asyncmy.
+"""The target port, implemented with asyncmy.
 
-Values travel as the member's own text: no decoder is set, so a DECIMAL
-or a DATETIME is passed on as the bytes the member sent.
+Values are passed on as the text that the member sent: no decoder is set,
+so that a DECIMAL or a DATETIME keeps its bytes.
 
 References
 ----------
@@ -24,15 +24,15 @@
     TargetLost,
 )
 
-#: MySQL's client-side error numbers, 2000 to 2999: the connection broke.
+#: MySQL's client-side error numbers, which mean a broken connection.
 CLIENT_ERRORS = range(2000, 3000)
 
-#: Character set number of binary columns.
+#: Character set numbers of binary columns and of all others.
 BINARY_CHARSET = 63
 UTF8MB4_CHARSET = 45
 
-#: Seconds by which a control wait's answer may come late: beyond it the
-#: member is taken for lost.
+#: Seconds after the end of a control statement's wait until the member
+#: counts as lost.
 WAIT_GRACE_S = 1.0
 
 _ENCODERS_ONLY = {
@@ -82,10 +82,10 @@
 
     @property
     def usable(self) -> bool:
-        """Say whether the connection is still open at this end."""
-        # A member that died while the connection lay idle has closed its
-        # end. A statement sent all the same can't have run, but could
-        # only be answered "unknown"; the driver's own check shows it.
+        """Whether the connection is open, as far as this end can tell."""
+        # A member that failed while the connection was idle has closed
+        # its end. A statement sent now can't run, but its outcome could
+        # only be reported as unknown. The driver's own check shows it.
         broken = getattr(self._connection, "_stream_broken", False)
         return self._connection.connected and not broken
 
@@ -94,15 +94,17 @@
     ) -> StatementResult:
         """Run one statement; see ``ports.TargetConnection``."""
         if not self.usable:
-            raise TargetLost(sent=False, reason="connection was closed")
+            raise TargetLost(sent=False, reason="the connection is closed")
         try:
             async with time_limit(timeout):
                 return await self._run(sql)
-        except TimeoutError as late:
+        except TimeoutError as timed_out:
             await self.close()
-            raise TargetLost(sent=True, reason="no answer in time") from late
+            raise TargetLost(
+                sent=True, reason="no answer in time"
+            ) from timed_out
         except MySQLClientError as error:
-            raise self._translate(error) from error
+            raise self._translate_error(error) from error
         except (OSError, EOFError) as error:
             await self.close()
             raise TargetLost(sent=True, reason=str(error)) from error
@@ -123,7 +125,7 @@
             in_transaction=bool(self._connection.get_transaction_status()),
         )
 
-    def _translate(self, error: MySQLClientError) -> Exception:
+    def _translate_error(self, error: MySQLClientError) -> Exception:
         number = error.args[0] if error.args else 0
         message = str(error.args[1]) if len(error.args) > 1 else str(error)
         if not isinstance(number, int) or number in CLIENT_ERRORS:
@@ -137,7 +139,7 @@
         return Position(int(term), int(index))
 
     async def reset(self) -> bool:
-        """Clear the session's state; False where that isn't proven."""
+        """Clear the session's state; False if that isn't confirmed."""
         try:
             await self.execute("REDWING RESET", timeout=WAIT_GRACE_S)
         except (TargetError, TargetLost):
@@ -145,15 +147,15 @@
         return True
 
     async def close(self) -> None:
-        """Close at once: a member that hangs can't hold the caller up."""
+        """Close at once, so that a hanging member can't block the caller."""
         self._connection.close()
 
     def abort(self) -> None:
-        """Close at once; a statement under way ends as lost."""
+        """Close at once; a running statement ends as lost."""
         self._connection.close()
 
     async def status(self, timeout: float) -> MemberStatus:
-        """Return what the member says of itself."""
+        """Return the member's status."""
         answer = await self.execute("REDWING STATUS", timeout)
         names = (column.name for column in answer.columns)
         row = dict(zip(names, answer.rows[0]))
@@ -237,7 +239,7 @@
     async def diverged(
         self, timeout: float
     ) -> tuple[tuple[Position, str], ...]:
-        """Return the transactions that the member set aside."""
+        """Return the diverged transactions that the member discarded."""
         answer = await self.execute("REDWING DIVERGED", timeout)
         return tuple(
             (Position(int(term), int(index)), statement)
@@ -251,8 +253,8 @@
     Parameters
     ----------
     user, password : str
-        The system's own account at the targets; a caller's key never
-        goes there.
+        The system's own account at the targets; callers' keys are never
+        sent there.
     """
 
     def __init__(self, user: str, password: str) -> None:
@@ -276,13 +278,13 @@
                     connect_timeout=max(1, int(timeout) + 1),
                 )
         except MySQLClientError as error:
-            raise _refused(error) from error
+            raise _translate_dial_error(error) from error
         except (TimeoutError, OSError, EOFError) as error:
             raise TargetLost(sent=False, reason=str(error)) from error
         return MySQLTargetConnection(address.member, connection)
 
 
-def _refused(error: MySQLClientError) -> Exception:
+def _translate_dial_error(error: MySQLClientError) -> Exception:
     number = error.args[0] if error.args else 0
     if isinstance(number, int) and number not in CLIENT_ERRORS:
         return TargetError(number, str(error.args[-1]))
@@ -290,7 +292,7 @@
 
 
 def parse_history(text: str) -> tuple[Position, ...]:
-    """Read ``term:index,term:index``.
+    """Parse ``term:index,term:index``.
 
     Examples
     --------
@@ -309,16 +311,16 @@
 
 def _columns(description: tuple, rows: tuple) -> tuple[ColumnInfo, ...]:
     return tuple(
-        ColumnInfo(entry[0], entry[1], _charset(rows, place))
-        for place, entry in enumerate(description)
+        ColumnInfo(entry[0], entry[1], _charset(rows, index))
+        for index, entry in enumerate(description)
     )
 
 
-def _charset(rows: tuple, place: int) -> int:
-    # The driver's public description leaves the character set out, but
-    # hands binary columns over as bytes and all others as str.
+def _charset(rows: tuple, index: int) -> int:
+    # The driver's public description has no character set, but values of
+    # binary columns are bytes and all others are str.
     for row in rows:
-        if row[place] is not None:
-            binary = isinstance(row[place], bytes)
+        if row[index] is not None:
+            binary = isinstance(row[index], bytes)
             return BINARY_CHARSET if binary else UTF8MB4_CHARSET
     return UTF8MB4_CHARSET
--- a/redwingpost/adapters/mysql_values.py
+++ b/redwingpost/adapters/mysql_values.py
@@ -1,7 +1,8 @@
-"""Turn a member's textual answer into what a caller's driver expects.
+"""Convert a member's text values to the form a caller's driver expects.
 
-A member's values arrive as text. The text protocol passes them on as
-they are; the binary protocol of prepared statements wants typed values.
+A member's values arrive as text. The text protocol passes them on
+unchanged; the binary protocol of prepared statements requires typed
+values.
 """
 
 from collections.abc import Callable
@@ -26,11 +27,11 @@
 _MAX_SIGNED_64 = 2**63 - 1
 _TIME = re_compile(r"(-?)(\d+):(\d\d):(\d\d)(?:\.(\d{1,6}))?$")
 
-#: Functions from a value's text to the Python value of its type.
+#: Functions that convert a value's text to Python, by column type.
 _READERS: Registry[Callable[[str], Any]] = Registry("column type")
 
 
-def _reads(*types: ColumnType) -> Callable:
+def _reader_for(*types: ColumnType) -> Callable:
     def add(reader: Callable[[str], Any]) -> Callable[[str], Any]:
         for column_type in types:
             _READERS.register(column_type.name)(reader)
@@ -39,7 +40,7 @@
     return add
 
 
-@_reads(
+@_reader_for(
     ColumnType.TINY,
     ColumnType.SHORT,
     ColumnType.LONG,
@@ -50,17 +51,17 @@
     return int(text)
 
 
-@_reads(ColumnType.FLOAT, ColumnType.DOUBLE)
+@_reader_for(ColumnType.FLOAT, ColumnType.DOUBLE)
 def _read_float(text: str) -> float:
     return float(text)
 
 
-@_reads(ColumnType.DATETIME, ColumnType.TIMESTAMP)
+@_reader_for(ColumnType.DATETIME, ColumnType.TIMESTAMP)
 def _read_datetime(text: str) -> datetime:
     return datetime.fromisoformat(text)
 
 
-@_reads(ColumnType.DATE)
+@_reader_for(ColumnType.DATE)
 def _read_date(text: str) -> date:
     return date.fromisoformat(text)
 
@@ -88,8 +89,8 @@
 
 
 def _encode_time(_column: ResultColumn, value: Any) -> bytes:
-    # The library writes a negative TIME as Python keeps it, days borrowed
-    # from, so that -01:00:00 would arrive as -47:00:00.
+    # The library encodes a negative TIME from Python's normalised form
+    # (negative days), so that -01:00:00 would arrive as -47:00:00.
     length = _read_time(value)
     total = abs(length)
     minutes, seconds = divmod(total.seconds, 60)
@@ -135,10 +136,10 @@
 
 @lru_cache(maxsize=4096)
 def make_column(info: ColumnInfo) -> ResultColumn:
-    """Return the driver-facing column for a member's column.
+    """Return the column to send to drivers for a member's column.
 
-    Cached: a site has few distinct columns, and building one costs more
-    than encoding a short row.
+    Cached: an installation has few distinct columns, and building one
+    costs more than encoding a short row.
     """
     binary = info.charset == BINARY_CHARSET
     column_type = ColumnType(info.type_code)
@@ -149,7 +150,7 @@
         text_encoder=_encode_text,
         binary_encoder=_binary_encoder(column_type),
     )
-    # Values are already text; the library's own fast path copies them.
+    # Values are already text, which the library's fast path copies.
     column.use_default_text_encoder = True
     column.codec = "utf-8"
     return column
--- a/redwingpost/adapters/peer.py
+++ b/redwingpost/adapters/peer.py
@@ -1,7 +1,7 @@
-"""RPC between the system's processes: pycapnp over TCP, mutual TLS.
+"""RPC between the system's processes: pycapnp over TCP with mutual TLS.
 
-A ``PeerServer`` serves this process's interfaces; ``PeerClients`` holds
-one connection to each peer it calls and dials again with back-off. Both
+A ``PeerServer`` serves this process's interfaces. ``PeerClients`` keeps
+one connection to each peer it calls and reconnects with back-off. Both
 must run inside ``capnp.kj_loop()``.
 """
 
@@ -25,27 +25,28 @@
 from redwingpost.ports import Clock, MonotonicClock
 from redwingpost.wire.schema import SCHEMA
 
-#: First and longest pause before dialling a silent peer again. A peer
-#: that restarts is back within a second; dialling a dead one every two
-#: seconds costs one SYN.
-FIRST_BACK_OFF_S = 0.05
-LONGEST_BACK_OFF_S = 2.0
+#: Initial and longest back-off before dialling an unreachable peer again
+#: (seconds). A peer that restarts is back within a second; dialling a
+#: dead one costs one SYN every two seconds.
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 2.0
 
-#: Certificate files are looked at this often; rotation takes minutes.
+#: Seconds between two checks of the certificate files; rotation takes
+#: minutes.
 TLS_RELOAD_S = 2.0
 
 
 class PeerAddress(NamedTuple):
-    """Where a process serves its peers."""
+    """Address at which a process serves its peers."""
 
     ip: str
     port: int
 
 
 class NodeInterfaces:
-    """The interfaces that this process serves, filled by its services.
+    """The RPC interfaces that this process serves, set by its services.
 
-    An interface left None isn't served: calls to it fail.
+    Calls to an interface that is None fail.
     """
 
     def __init__(self) -> None:
@@ -57,7 +58,7 @@
 
 
 class _Node(SCHEMA.Node.Server):
-    """The bootstrap interface: hands out the others."""
+    """The bootstrap interface, which returns the other interfaces."""
 
     def __init__(self, interfaces: NodeInterfaces) -> None:
         self._interfaces = interfaces
@@ -85,17 +86,17 @@
 
 
 class PeerServer(Service):
-    """Listens for peers.
+    """Accepts peers' connections.
 
     Parameters
     ----------
     address : PeerAddress
-        Where to listen; port 0 takes a free one (see ``port``).
+        Where to listen; port 0 selects a free one (see ``port``).
     interfaces : NodeInterfaces
-        What to serve.
+        The interfaces to serve.
     tls : TlsContexts
-        Contexts; a changed certificate makes the server listen anew,
-        while open connections stay.
+        TLS contexts. If a certificate changes, the server opens a new
+        listening socket; open connections stay.
     """
 
     def __init__(
@@ -148,8 +149,8 @@
             self._streams.discard(stream)
             stream.close()
 
-    async def take_new_certificates(self) -> bool:
-        """Listen anew if the certificate files have changed."""
+    async def reload_certificates(self) -> bool:
+        """Open a new listening socket if the certificate files changed."""
         if not self._tls.reload():
             return False
         self._server.close()
@@ -162,20 +163,20 @@
         while not self.should_stop:
             await self.sleep(TLS_RELOAD_S)
             if not self.should_stop:
-                await self.take_new_certificates()
+                await self.reload_certificates()
 
 
 class _Interface:
-    """An interface of a peer, shaped like the answer that brings it."""
+    """A peer's interface, with the attribute of the answer it came in."""
 
     def __init__(self, name: str, capability: Any) -> None:
         setattr(self, name, capability)
 
 
-class _KeptNode:
-    """A peer's ``Node`` whose interfaces are asked for once.
+class _CachedNode:
+    """A peer's ``Node`` that caches the interfaces it returned.
 
-    Asking again at each call would double its messages.
+    Requesting the interface for each call would double the messages.
     """
 
     def __init__(self, node: Any) -> None:
@@ -183,46 +184,46 @@
         self._interfaces_by_name: dict[str, _Interface] = {}
 
     def forget(self) -> None:
-        """Ask anew: an interface that wasn't served may be by now."""
+        """Clear the cache: a missing interface may be served by now."""
         self._interfaces_by_name.clear()
 
     def __getattr__(self, name: str) -> Callable[[], _Interface]:
         return lambda: self._interface(name)
 
     def _interface(self, name: str) -> _Interface:
-        kept = self._interfaces_by_name.get(name)
-        if kept is None:
+        cached = self._interfaces_by_name.get(name)
+        if cached is None:
             capability = getattr(getattr(self._node, name)(), name)
-            kept = _Interface(name, capability)
-            self._interfaces_by_name[name] = kept
-        return kept
+            cached = _Interface(name, capability)
+            self._interfaces_by_name[name] = cached
+        return cached
 
 
 class _Peer:
-    """One peer: its connection, if any, and when to dial again."""
+    """One peer: its connection, if any, and the state of its back-off."""
 
     def __init__(self) -> None:
         self.client: Any = None
         self.node: Any = None
-        self.dial_after = 0.0
-        self.back_off_s = FIRST_BACK_OFF_S
-        self.dialling = Lock()
+        self.next_dial_at = 0.0
+        self.backoff_s = INITIAL_BACKOFF_S
+        self.dial_lock = Lock()
 
 
 class PeerClients:
-    """Connections to peers, one each, made when first called.
+    """Connections to peers, one each, opened at the first call.
 
     Parameters
     ----------
     local_ip : str
         Address to dial from.
     tls : TlsContexts
-        The client context is asked for at each dial, so that reloaded
-        certificates count from the next connection on.
+        TLS contexts. The client context is read at each dial, so that
+        reloaded certificates apply to the next connection.
     clock : Clock
-        For the back-off.
+        Source of time for the back-off.
     seed : int
-        For the jitter, which keeps the peers of a VM that comes back
+        Seed of the jitter, which prevents the peers of a restarted VM
         from dialling it all at once.
     """
 
@@ -250,40 +251,40 @@
         Parameters
         ----------
         address : PeerAddress
-            Whom to call.
+            The peer to call.
         method : callable
-            Given the peer's ``Node``, returns the promise of a call:
+            Takes the peer's ``Node`` and returns the promise of a call:
             ``lambda node: node.fleet().fleet.beat(...)``.
         timeout : float
-            Seconds until the call is given up, dialling included.
+            Time-out of the call (seconds), including dialling.
 
         Returns
         -------
         Result
-            The answer, or ``Code.PEER_REFUSED``. After a time-out it is
-            not known whether the peer ran the call.
+            The answer, or ``Code.PEER_REFUSED``. After a time-out the
+            peer may or may not have run the call.
         """
         peer = self._peers_by_address.setdefault(address, _Peer())
-        if peer.client is None and self._clock.now() < peer.dial_after:
+        if peer.client is None and self._clock.now() < peer.next_dial_at:
             return Error(Refusal(Code.PEER_REFUSED, "backing off"))
-        used: list[Any] = []
+        used_clients: list[Any] = []
         try:
             answer = await wait_for(
-                self._call_once(peer, address, method, used), timeout
+                self._call_once(peer, address, method, used_clients), timeout
             )
         except (KjException, OSError, TimeoutError) as error:
-            if not _is_answer(error):
-                self._drop(peer, used)
+            if not _is_peer_error(error):
+                self._drop(peer, used_clients)
             elif peer.node is not None:
                 peer.node.forget()
             why = getattr(error, "description", "") or repr(error)
             detail = f"{address.ip}:{address.port}: {why}"
             return Error(Refusal(Code.PEER_REFUSED, detail))
-        peer.back_off_s = FIRST_BACK_OFF_S
+        peer.backoff_s = INITIAL_BACKOFF_S
         return Ok(answer)
 
     def addresses(self) -> frozenset[PeerAddress]:
-        """Return the peers that were called."""
+        """Return the addresses of the peers that were called."""
         return frozenset(self._peers_by_address)
 
     def forget(self, address: PeerAddress) -> None:
@@ -302,12 +303,12 @@
         peer: _Peer,
         address: PeerAddress,
         method: Callable[[Any], Awaitable[Any]],
-        used: list[Any],
+        used_clients: list[Any],
     ) -> Any:
-        async with peer.dialling:
+        async with peer.dial_lock:
             if peer.client is None:
                 await self._dial(peer, address)
-        used.append(peer.client)
+        used_clients.append(peer.client)
         return await method(peer.node)
 
     async def _dial(self, peer: _Peer, address: PeerAddress) -> None:
@@ -322,26 +323,26 @@
         )
         peer.client = TwoPartyClient(stream)
         node = peer.client.bootstrap().cast_as(SCHEMA.Node)
-        peer.node = _KeptNode(node)
+        peer.node = _CachedNode(node)
 
-    def _drop(self, peer: _Peer, used: list[Any]) -> None:
-        """Close after a failure and dial again a little later.
+    def _drop(self, peer: _Peer, used_clients: list[Any]) -> None:
+        """Close the connection after a failure and start the back-off.
 
-        A connection whose peer fell silent may hang in TCP's own
+        A connection whose peer stopped answering may wait for TCP's
         retransmission for minutes after the link is back, while a new
-        one is through at once. A call that fails late must not close
-        the connection that was made in place of its own.
+        connection works at once. A call that fails late must not close
+        a newer connection than the one it used.
         """
         if peer.client is not None:
-            if peer.client not in used:
+            if peer.client not in used_clients:
                 return
             peer.client.close()
         peer.client = peer.node = None
         jitter = self._random.uniform(0.5, 1.0)
-        peer.dial_after = self._clock.now() + peer.back_off_s * jitter
-        peer.back_off_s = min(peer.back_off_s * 2, LONGEST_BACK_OFF_S)
+        peer.next_dial_at = self._clock.now() + peer.backoff_s * jitter
+        peer.backoff_s = min(peer.backoff_s * 2, MAX_BACKOFF_S)
 
 
-def _is_answer(error: Exception) -> bool:
-    """Say whether an error came from the peer's code, not the link."""
+def _is_peer_error(error: Exception) -> bool:
+    """Return whether an error came from the peer's code, not the link."""
     return isinstance(error, KjException) and error.type != "DISCONNECTED"
--- a/redwingpost/adapters/platform_http.py
+++ b/redwingpost/adapters/platform_http.py
@@ -1,11 +1,11 @@
 """The platform over HTTP/JSON: table service, objects, list of VMs.
 
-The one thing that needs care is what a failed call says about the
-store. ``Code.STORE_UNAVAILABLE`` promises that nothing took effect, so
-it is answered only where no byte of a change left this process or the
-platform itself refused it (429, 503). After anything else a change may
-have taken effect: ``Code.STORE_OUTCOME_UNKNOWN``. A read has no effect,
-so its failures are always ``Code.STORE_UNAVAILABLE``.
+The result code of a failed call depends on what is known about its
+effect. ``Code.STORE_UNAVAILABLE`` guarantees that nothing took effect, so
+it is returned only if no byte of a change left this process or the
+platform itself refused it (429, 503). After any other failure a change
+may have taken effect: ``Code.STORE_OUTCOME_UNKNOWN``. A read has no
+effect, so its failures are always ``Code.STORE_UNAVAILABLE``.
 """
 
 from typing import Any, NamedTuple
@@ -35,14 +35,14 @@
 )
 from redwingpost.settings import PlatformSettings
 
-#: Share of the whole time-out that connecting may take. It must run out
-#: first, or a time-out while connecting would count as sent.
-CONNECT_SHARE = 0.5
+#: Share of the whole time-out that connecting may take. It must expire
+#: first; otherwise a time-out while connecting would count as sent.
+CONNECT_TIMEOUT_SHARE = 0.5
 
-#: Rows of one page of a scan; the service answers whole pages.
+#: Rows per page of a scan; only the last page has fewer.
 PAGE_ROWS = 500
 
-#: The platform's words for "nothing took effect".
+#: Statuses with which the platform states that nothing took effect.
 REFUSED_STATUSES = frozenset({429, 503})
 
 
@@ -57,9 +57,9 @@
     Parameters
     ----------
     settings : PlatformSettings
-        Where the platform answers and how long it may take.
+        The platform's URL and the time-out of calls.
     local_ip : str
-        Address to call from; empty for any.
+        Source address of connections; empty for any.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
         self._url = settings.url.rstrip("/")
         self._timeout = ClientTimeout(
             total=settings.timeout_s,
-            connect=settings.timeout_s * CONNECT_SHARE,
+            connect=settings.timeout_s * CONNECT_TIMEOUT_SHARE,
         )
         self._local_address = (local_ip, 0) if local_ip else None
         self._session: ClientSession | None = None
@@ -83,20 +83,20 @@
     async def read(self, table: str, key: str) -> Result[Row | None, Refusal]:
         """Return one row, or None."""
         path = f"/v1/tables/{table}/{quote(key, safe='')}"
-        answer = await self._get(path, absent=404)
+        answer = await self._get_json(path, absent_status=404)
         if answer.is_error():
             return answer
         if answer.ok is None:
             return Ok(None)
         value = answer.ok
-        return _checked(
+        return _parsed(
             lambda: Row(table, key, value["version"], value["value"])
         )
 
     async def scan(
         self, table: str, prefix: str = "", after: str = ""
     ) -> Result[tuple[Row, ...], Refusal]:
-        """Return the rows whose key starts with prefix, beyond after."""
+        """Return rows whose key starts with ``prefix``, after ``after``."""
         rows: list[Row] = []
         while True:
             page = await self._scan_page(table, prefix, after)
@@ -113,10 +113,10 @@
         query = urlencode(
             {"prefix": prefix, "after": after, "limit": PAGE_ROWS}
         )
-        answer = await self._get(f"/v1/tables/{table}?{query}")
+        answer = await self._get_json(f"/v1/tables/{table}?{query}")
         if answer.is_error():
             return answer
-        return _checked(
+        return _parsed(
             lambda: tuple(
                 Row(table, row["key"], row["version"], row["value"])
                 for row in answer.ok["rows"]
@@ -133,22 +133,22 @@
                 "writes": [item._asdict() for item in writes],
             }
         )
-        sent = await self._change("POST", "/v1/transact", body)
+        sent = await self._send_change("POST", "/v1/transact", body)
         if sent.is_error():
             return sent
         try:
             return Ok(_read_transact(sent.ok))
         except (MsgspecError, KeyError, TypeError) as error:
-            return Error(_unknown(f"broken answer: {error!r}"))
+            return Error(_outcome_unknown(f"malformed answer: {error!r}"))
 
     async def put(self, key: str, body: bytes) -> Result[None, Refusal]:
-        """Store a body."""
+        """Store an object."""
         path = f"/v1/objects/{quote(key, safe='')}"
-        sent = await self._change("PUT", path, body)
+        sent = await self._send_change("PUT", path, body)
         return sent if sent.is_error() else Ok(None)
 
     async def get(self, key: str) -> Result[bytes | None, Refusal]:
-        """Return a body, or None."""
+        """Return an object's body, or None."""
         path = f"/v1/objects/{quote(key, safe='')}"
         answer = await self._fetch(path)
         if answer.is_error():
@@ -160,29 +160,29 @@
         return Ok(answer.ok.body)
 
     async def vms(self) -> Result[tuple[VmEntry, ...], Refusal]:
-        """Return the VMs that the platform knows."""
-        answer = await self._get("/v1/vms")
+        """Return the VMs on the platform's list."""
+        answer = await self._get_json("/v1/vms")
         if answer.is_error():
             return answer
-        return _checked(
+        return _parsed(
             lambda: tuple(
                 VmEntry(**{name: entry[name] for name in VmEntry._fields})
                 for entry in answer.ok["vms"]
             )
         )
 
-    async def _get(
-        self, path: str, absent: int = 0
+    async def _get_json(
+        self, path: str, absent_status: int = 0
     ) -> Result[Any | None, Refusal]:
-        """Return a JSON answer, or None for the status ``absent``."""
+        """Return a JSON answer, or None for ``absent_status``."""
         answer = await self._fetch(path)
         if answer.is_error():
             return answer
-        if answer.ok.status == absent:
+        if answer.ok.status == absent_status:
             return Ok(None)
         if answer.ok.status != 200:
             return Error(_unavailable(f"status {answer.ok.status}"))
-        return _checked(lambda: decode_json(answer.ok.body))
+        return _parsed(lambda: decode_json(answer.ok.body))
 
     async def _fetch(self, path: str) -> Result[_Answer, Refusal]:
         try:
@@ -190,20 +190,20 @@
         except (ClientError, TimeoutError, OSError) as error:
             return Error(_unavailable(repr(error)))
 
-    async def _change(
+    async def _send_change(
         self, method: str, path: str, body: bytes
     ) -> Result[_Answer, Refusal]:
-        """Send a change; the answer's status is 200 or 409."""
+        """Send a change; a returned answer has the status 200 or 409."""
         try:
             answer = await self._request(method, path, body)
         except (ClientConnectorError, ConnectionTimeoutError) as error:
             return Error(_unavailable(repr(error)))
         except (ClientError, TimeoutError, OSError) as error:
-            return Error(_unknown(repr(error)))
+            return Error(_outcome_unknown(repr(error)))
         if answer.status in REFUSED_STATUSES:
             return Error(_unavailable(f"status {answer.status}"))
         if answer.status not in (200, 409):
-            return Error(_unknown(f"status {answer.status}"))
+            return Error(_outcome_unknown(f"status {answer.status}"))
         return Ok(answer)
 
     async def _request(
@@ -235,17 +235,17 @@
     return TransactResult(False, (), conflicts)
 
 
-def _checked(read: Any) -> Result[Any, Refusal]:
-    """Return what ``read`` makes of an answer, or that it is broken."""
+def _parsed(read: Any) -> Result[Any, Refusal]:
+    """Return the result of ``read``, or a refusal of a malformed answer."""
     try:
         return Ok(read())
     except (MsgspecError, KeyError, TypeError) as error:
-        return Error(_unavailable(f"broken answer: {error!r}"))
+        return Error(_unavailable(f"malformed answer: {error!r}"))
 
 
 def _unavailable(detail: str) -> Refusal:
     return Refusal(Code.STORE_UNAVAILABLE, detail, retry_after_ms=500)
 
 
-def _unknown(detail: str) -> Refusal:
+def _outcome_unknown(detail: str) -> Refusal:
     return Refusal(Code.STORE_OUTCOME_UNKNOWN, detail)
--- a/redwingpost/adapters/tests/certificates.py
+++ b/redwingpost/adapters/tests/certificates.py
@@ -1,4 +1,4 @@
-"""Certificates for tests: an authority and what it signs."""
+"""Test certificates: an authority and the certificates that it signs."""
 
 from datetime import datetime, timedelta, timezone
 from pathlib import Path
@@ -28,7 +28,7 @@
 
 
 class Authority:
-    """A certificate authority that lives as long as a test."""
+    """A certificate authority for the duration of a test."""
 
     def __init__(self, name: str) -> None:
         self._key = generate_private_key(SECP256R1())
@@ -36,7 +36,7 @@
         self._certificate = self._sign(self._name, self._key, True)
 
     def write(self, folder: Path, vm: str) -> TlsSettings:
-        """Sign a certificate for a VM and write all files."""
+        """Sign a certificate for a VM and write all its files."""
         key = generate_private_key(SECP256R1())
         certificate = self._sign(_name(vm), key, False)
         settings = TlsSettings(
--- a/redwingpost/adapters/tests/test_fuzz_packets.py
+++ b/redwingpost/adapters/tests/test_fuzz_packets.py
@@ -1,7 +1,8 @@
-"""Packets of a broken or hostile driver, before and after the key check.
+"""Fuzzing: malformed packets before and after the key check.
 
-The proxy answers with an error packet or closes the connection; it never
-crashes, hangs or lets a stranger in, and goes on serving the others.
+The proxy must answer with an error packet or close the connection. It
+must not crash, hang or admit a client without a key, and must continue
+to serve other callers.
 """
 
 from asyncio import open_connection, run, wait_for
@@ -19,18 +20,19 @@
 
 IP = "127.1.1.77"
 KEY = "a-key-for-the-test"
-PATIENCE_S = 10.0
+TIMEOUT_S = 10.0
 
 #: PROTOCOL_41, SECURE_CONNECTION, PLUGIN_AUTH, QUERY_ATTRIBUTES.
 CAPABILITIES = 1 << 9 | 1 << 15 | 1 << 19 | 1 << 27
 
-#: Connections with garbage before the key check, packets after it.
+#: Connections that send garbage before the key check, and packets of
+#: garbage after it.
 GREETINGS = 1000
 COMMANDS = 4000
 
 
-class Keys:
-    """Knows one organisation's key."""
+class FixedKeys:
+    """An authenticator with one organisation's key."""
 
     def key_hashes(self, organisation):
         if organisation != "diocese-puno":
@@ -60,7 +62,7 @@
 
 
 def random_packet(random, sequence):
-    """Return a packet; its length or sequence number may be a lie."""
+    """Return a packet whose length or sequence number may be wrong."""
     body = random.randbytes(random.choice((0, 1, 5, 40, 300)))
     length = len(body)
     if random.random() < 0.1:
@@ -71,7 +73,7 @@
 
 
 def damaged_handshake(random):
-    """Return a good handshake, cut short and with a few bytes changed."""
+    """Return a valid handshake, truncated and with a few bytes changed."""
     body = bytearray(handshake(b"\0" * 20))
     for _ in range(random.randint(0, 4)):
         body[random.randrange(len(body))] = random.randrange(256)
@@ -80,7 +82,7 @@
 
 
 def random_command(random):
-    """Return a command's packet, its first byte a known command."""
+    """Return a packet with a known command as its first byte."""
     body = random.randbytes(random.choice((0, 2, 9, 30, 120)))
     command = bytes([random.choice(range(0x20))])
     if random.random() < 0.3:
@@ -92,14 +94,14 @@
 async def greet_with_garbage(port, random):
     """Answer the greeting with garbage; wait until the proxy closes."""
     reader, writer = await open_connection(IP, port)
-    await wait_for(reader.read(4096), PATIENCE_S)
+    await wait_for(reader.read(4096), TIMEOUT_S)
     if random.random() < 0.5:
         writer.write(damaged_handshake(random))
     else:
         for sequence in range(1, random.randint(2, 4)):
             writer.write(random_packet(random, sequence))
     writer.write_eof()
-    while await wait_for(reader.read(65536), PATIENCE_S):
+    while await wait_for(reader.read(65536), TIMEOUT_S):
         pass
     writer.close()
 
@@ -111,26 +113,26 @@
 
 
 def scramble(nonce):
-    """Return the answer to a nonce that proves the key."""
+    """Return the response to a nonce for the key."""
     once = sha1(KEY.encode()).digest()
     mask = sha1(nonce + sha1(once).digest()).digest()
     return bytes(a ^ b for a, b in zip(once, mask))
 
 
 def handshake(proof):
-    """Return the body of a handshake response with a proof of the key."""
+    """Return the body of a handshake response with the given proof."""
     body = CAPABILITIES.to_bytes(4, "little") + b"\0\0\0\1" + b"\x2d"
     body += b"\0" * 23 + b"diocese-puno\0" + b"\x14" + proof
     return body + b"mysql_native_password\0"
 
 
 async def log_in(port):
-    """Return a raw connection after a good key check."""
+    """Return a raw connection after a successful key check."""
     reader, writer = await open_connection(IP, port)
-    greeting = await wait_for(reader.read(4096), PATIENCE_S)
+    greeting = await wait_for(reader.read(4096), TIMEOUT_S)
     body = handshake(scramble(greeting_nonce(greeting)))
     writer.write(len(body).to_bytes(3, "little") + b"\1" + body)
-    answer = await wait_for(reader.read(4096), PATIENCE_S)
+    answer = await wait_for(reader.read(4096), TIMEOUT_S)
     assert answer[4] == 0, answer
     return reader, writer
 
@@ -144,14 +146,14 @@
             writer.write(random_command(random))
             sent += 1
         writer.write_eof()
-        while await wait_for(reader.read(65536), PATIENCE_S):
+        while await wait_for(reader.read(65536), TIMEOUT_S):
             pass
         writer.close()
 
 
-async def serve_and(attack):
-    """Run an attack, then check that a driver is served as before."""
-    server = CallerServer(IP, 0, Keys(), lambda *_: Handler())
+async def run_attack(attack):
+    """Run an attack, then check that a driver is still served."""
+    server = CallerServer(IP, 0, FixedKeys(), lambda *_: Handler())
     await server.start()
     try:
         before = Handler.statements
@@ -174,11 +176,11 @@
         logger.disable("redwingpost.adapters.mysql_server")
         self.addCleanup(logger.enable, "redwingpost.adapters.mysql_server")
 
-    def test_unended_texts(self):
-        """A text in a packet has no zero byte at its end.
+    def test_unterminated_strings(self):
+        """A string in a packet has no zero byte at its end.
 
-        The library's reader would never come back, for a handshake sent
-        by anyone, a change of user or a field list.
+        The library's parser would loop for ever, for a handshake of any
+        client, a change of user or a field list.
         """
 
         async def attack(port):
@@ -188,7 +190,7 @@
                 size = len(body).to_bytes(3, "little")
                 writer.write(size + head + body)
                 writer.write_eof()
-                while await wait_for(reader.read(65536), PATIENCE_S):
+                while await wait_for(reader.read(65536), TIMEOUT_S):
                     pass
                 writer.close()
             for command in (b"\x11user", b"\x11u\0\x05abc", b"\x04table"):
@@ -196,11 +198,11 @@
                 size = len(command).to_bytes(3, "little")
                 writer.write(size + b"\0" + command)
                 writer.write_eof()
-                while await wait_for(reader.read(65536), PATIENCE_S):
+                while await wait_for(reader.read(65536), TIMEOUT_S):
                     pass
                 writer.close()
 
-        run(serve_and(attack))
+        run(run_attack(attack))
 
     def test_strangers_reach_no_statement(self):
         async def attack(port):
@@ -208,10 +210,10 @@
             for _ in range(GREETINGS):
                 await greet_with_garbage(port, random)
 
-        self.assertEqual(run(serve_and(attack)), 0)
+        self.assertEqual(run(run_attack(attack)), 0)
 
     def test_callers_packets(self):
         async def attack(port):
             await send_garbage_commands(port, Random(2), COMMANDS)
 
-        run(serve_and(attack))
+        run(run_attack(attack))
--- a/redwingpost/adapters/tests/test_fuzz_peer.py
+++ b/redwingpost/adapters/tests/test_fuzz_peer.py
@@ -1,4 +1,4 @@
-"""Bytes of a broken peer: the connection ends, others are served."""
+"""Fuzzing: malformed messages end their connection, others continue."""
 
 from asyncio import open_connection, run, wait_for
 from random import Random
@@ -16,12 +16,12 @@
 from redwingpost.core import Code
 
 IP = "127.1.1.78"
-PATIENCE_S = 10.0
+TIMEOUT_S = 10.0
 INPUTS = 600
 
 
 def random_message(random):
-    """Return noise, or a frame whose header promises too much."""
+    """Return random bytes, or a frame whose header is wrong."""
     body = random.randbytes(8 * random.randint(0, 12))
     if random.random() < 0.5:
         return body
@@ -39,7 +39,7 @@
         writer.write(random_message(random))
         writer.write_eof()
         try:
-            while await wait_for(reader.read(65536), PATIENCE_S):
+            while await wait_for(reader.read(65536), TIMEOUT_S):
                 pass
         except ConnectionError:
             pass
@@ -47,7 +47,7 @@
 
 
 async def serve_under_attack():
-    """Return what an orderly peer is told after the attack."""
+    """Return the answer to a valid call after the attack."""
     async with kj_loop():
         tls = TlsContexts(None)
         server = PeerServer(PeerAddress(IP, 0), NodeInterfaces(), tls)
@@ -56,7 +56,7 @@
         clients = PeerClients("", tls, seed=1)
         address = PeerAddress(IP, server.port)
         answer = await clients.call(
-            address, lambda node: node.watch().watch.announce([]), PATIENCE_S
+            address, lambda node: node.watch().watch.announce([]), TIMEOUT_S
         )
         clients.close()
         await server.stop()
@@ -66,6 +66,7 @@
 class FuzzPeerTest(TestCase):
     def test_noise_ends_its_own_connection(self):
         answer = run(serve_under_attack())
-        # Nothing is served here, and it says so: the server lives.
+        # The server has no interfaces; its answer shows that it still
+        # runs.
         self.assertEqual(answer.error.code, Code.PEER_REFUSED)
         self.assertIn("not served here", answer.error.detail)
--- a/redwingpost/adapters/tests/test_http_client.py
+++ b/redwingpost/adapters/tests/test_http_client.py
@@ -1,4 +1,4 @@
-"""HTTP requests over connections that hang or have gone silent."""
+"""HTTP requests over connections that hang or are silently broken."""
 
 from asyncio import StreamReader, StreamWriter, start_server, wait_for
 from contextlib import ExitStack
@@ -12,22 +12,22 @@
 )
 from redwingpost.ports.clock import VirtualClock
 
-#: Far above what any request here takes, far below a feed's wait.
-_PATIENCE_S = 10.0
+#: Far above the duration of any request here, far below a feed's wait.
+_TIMEOUT_S = 10.0
 _FEED_WAIT_S = 31.0
 
-#: Far above the pause between calls of one matter.
-_REST_S = 5.0
+#: Far above the pause between consecutive calls of one operation.
+_IDLE_S = 5.0
 
 
 class SilentAfterOne:
-    """Answers one request on each connection, then nothing more."""
+    """Answers one request on each connection, then no more."""
 
     def __init__(self) -> None:
         self.connections = 0
 
     async def serve(self, reader: StreamReader, writer: StreamWriter) -> None:
-        """Answer the first request only."""
+        """Answer only the first request."""
         self.connections += 1
         await reader.readuntil(b"\r\n\r\n")
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -39,17 +39,17 @@
     async def test_a_connection_that_never_opens(self) -> None:
         """A cut drops the packets that open a connection.
 
-        The system sends them again after ever longer pauses. A feed that
-        may wait for half a minute would wait as long for its connection,
-        and callers would be served by an old configuration long after
-        the cut has ended.
+        TCP resends them after increasing pauses. A feed that may wait for
+        half a minute would wait as long for its connection, and callers
+        would be served with an old configuration long after the cut has
+        ended.
         """
         with ExitStack() as stack:
             server = stack.enter_context(socket())
             server.bind(("127.0.0.1", 0))
             server.listen(0)
             address = server.getsockname()
-            # The queue of new connections is full after these.
+            # These fill the backlog of new connections.
             for _ in range(3):
                 waiting = stack.enter_context(socket())
                 waiting.setblocking(False)
@@ -57,7 +57,7 @@
             client = HttpClient(*address)
             request = client.request("GET", "/feed", _FEED_WAIT_S)
             with self.assertRaises(HttpLost) as raised:
-                await wait_for(request, _PATIENCE_S)
+                await wait_for(request, _TIMEOUT_S)
             self.assertFalse(raised.exception.sent)
 
 
@@ -71,18 +71,16 @@
         self.pool = HttpPool("127.0.0.1", port, self.clock)
         self.addCleanup(self.pool.close)
 
-    async def test_a_connection_that_went_silent_while_it_rested(
-        self,
-    ) -> None:
-        """A connection goes silent while nobody uses it.
+    async def test_a_connection_that_broke_while_idle(self) -> None:
+        """A connection silently breaks while it is idle.
 
-        The next call would wait for its whole time limit; if it claims
-        the duty of replacing a primary, writers wait as long.
+        The next call on it would wait for its whole time-out; if it
+        claims the duty of replacing a primary, writers wait as long.
         """
         for _ in range(2):
             answer = await wait_for(
-                self.pool.request("GET", "/", _PATIENCE_S), _PATIENCE_S / 2
+                self.pool.request("GET", "/", _TIMEOUT_S), _TIMEOUT_S / 2
             )
             self.assertEqual(200, answer.status)
-            self.clock.advance(_REST_S)
+            self.clock.advance(_IDLE_S)
         self.assertEqual(2, self.served.connections)
--- a/redwingpost/adapters/tests/test_link_rules.py
+++ b/redwingpost/adapters/tests/test_link_rules.py
@@ -1,16 +1,16 @@
-"""Rules of link faults: which connections they concern, and how."""
+"""Rules of link faults: which connections they affect, and how."""
 
 from unittest import TestCase
 
 from redwingpost.adapters.link_rules import (
+    Impairment,
     LinkEffect,
-    Way,
     effect,
     parse_rules,
     render_rule,
 )
 
-CUT = Way(is_cut=True)
+CUT = Impairment(is_cut=True)
 
 
 def rule(**given):
@@ -30,19 +30,22 @@
                 "127.1.1.1",
                 "127.2.1.1",
                 [rule(kind="cut", direction="out")],
-                LinkEffect(CUT, Way()),
+                LinkEffect(CUT, Impairment()),
             ),
             (
                 "127.1.1.1",
                 "127.2.1.1",
                 [rule(kind="cut", direction="in")],
-                LinkEffect(Way(), CUT),
+                LinkEffect(Impairment(), CUT),
             ),
             (
                 "127.1.1.1",
                 "127.2.1.1",
                 [slow, slow, loss],
-                LinkEffect(Way(False, 0.006, 0.05), Way(False, 0.006, 0.05)),
+                LinkEffect(
+                    Impairment(False, 0.006, 0.05),
+                    Impairment(False, 0.006, 0.05),
+                ),
             ),
         ]
         for own, peer, rules, expected in table:
--- a/redwingpost/adapters/tests/test_links.py
+++ b/redwingpost/adapters/tests/test_links.py
@@ -1,7 +1,7 @@
-"""Link faults on real loopback sockets, under several libraries.
+"""Link faults on loopback sockets, under several libraries.
 
-No test measures time: a cut is told by an answer that is not there while
-an unhindered connection to the same server has been answered twice.
+No test measures time: a cut is detected by a missing answer while a
+connection without faults has been answered twice.
 """
 
 from asyncio import (
@@ -30,12 +30,12 @@
 OWN = "127.1.1.1"
 FAR = "127.2.1.9"
 NEAR = "127.1.1.9"
-PATIENCE_S = 10.0
+TIMEOUT_S = 10.0
 
 
-def rules(kind="cut", **more):
+def rules(kind="cut", **options):
     body = {"from": "127.1.0.0/16", "to": "127.2.0.0/16", "kind": kind}
-    return parse_rules({"rules": [{**body, **more}]}).ok
+    return parse_rules({"rules": [{**body, **options}]}).ok
 
 
 class LinkCase(IsolatedAsyncioTestCase):
@@ -54,7 +54,7 @@
         return server.sockets[0].getsockname()
 
     async def finish(self):
-        """End the connections of both sides before the loop ends."""
+        """Close the connections of both sides before the loop ends."""
         self.faults.set_rules(())
         for writer in self.dialled:
             writer.close()
@@ -74,43 +74,43 @@
         self.dialled.append(writer)
         return reader, writer
 
-    async def ask(self, connection, line):
+    async def echo_line(self, connection, line):
         reader, writer = connection
         writer.write(line)
-        return await wait_for(reader.readline(), PATIENCE_S)
+        return await wait_for(reader.readline(), TIMEOUT_S)
 
     async def pass_time(self):
-        """Let two questions go to and fro on a link without faults."""
+        """Exchange two lines over a link without faults."""
         near = await self.dial(self.near)
         for _ in range(2):
-            await self.ask(near, b"near\n")
+            await self.echo_line(near, b"near\n")
 
 
 class CutTest(LinkCase):
     async def test_cut_holds_bytes_until_it_heals(self):
         """A data centre is cut off while a connection is open.
 
-        Nothing breaks and nothing arrives; when the cut heals the bytes
-        come through in order.
+        The connection stays open and nothing arrives; after the cut the
+        bytes must arrive in order.
         """
         far = await self.dial(self.far)
-        self.assertEqual(await self.ask(far, b"1\n"), b"1\n")
+        self.assertEqual(await self.echo_line(far, b"1\n"), b"1\n")
         self.faults.set_rules(rules())
-        answer = create_task(self.ask(far, b"2\n"))
+        answer = create_task(self.echo_line(far, b"2\n"))
         await self.pass_time()
         self.assertNotIn(b"2\n", self.seen)
         self.faults.set_rules(())
         self.assertEqual(await answer, b"2\n")
 
     async def test_one_way_cuts(self):
-        """Only one direction is lost: the peer hears but isn't heard."""
+        """Only one direction is cut: the peer receives or sends nothing."""
         for direction, arrives in (("in", True), ("out", False)):
             with self.subTest(direction=direction):
                 line = direction.encode() + b"\n"
                 far = await self.dial(self.far)
-                await self.ask(far, b"1\n")
+                await self.echo_line(far, b"1\n")
                 self.faults.set_rules(rules(direction=direction))
-                answer = create_task(self.ask(far, line))
+                answer = create_task(self.echo_line(far, line))
                 await self.pass_time()
                 self.assertFalse(answer.done())
                 self.assertEqual(line in self.seen, arrives)
@@ -118,19 +118,19 @@
                 self.assertEqual(await answer, line)
 
     async def test_connect_hangs_during_a_cut(self):
-        """A connect during a cut neither fails nor succeeds."""
+        """A connect during a cut hangs until the cut ends."""
         self.faults.set_rules(rules())
         dialling = create_task(self.dial(self.far))
         await self.pass_time()
         self.assertFalse(dialling.done())
         self.faults.set_rules(())
-        far = await wait_for(dialling, PATIENCE_S)
-        self.assertEqual(await self.ask(far, b"1\n"), b"1\n")
+        far = await wait_for(dialling, TIMEOUT_S)
+        self.assertEqual(await self.echo_line(far, b"1\n"), b"1\n")
 
-    async def test_close_is_not_heard_during_a_cut(self):
-        """A caller closes across a cut; the peer must not learn it."""
+    async def test_close_is_not_delivered_during_a_cut(self):
+        """A caller closes during a cut; the peer must not be notified."""
         reader, writer = await self.dial(self.far)
-        await self.ask((reader, writer), b"1\n")
+        await self.echo_line((reader, writer), b"1\n")
         self.faults.set_rules(rules())
         writer.write(b"last\n")
         writer.close()
@@ -139,23 +139,22 @@
         self.faults.set_rules(())
         other = await self.dial(self.far)
         while b"end" not in self.seen:
-            await self.ask(other, b"?\n")
+            await self.echo_line(other, b"?\n")
         self.assertIn(b"last\n", self.seen)
 
 
 class DelayTest(LinkCase):
     async def test_order_is_kept(self):
         """Delays and losses must not reorder or lose a byte."""
-        for kind, more in (("delay", {"ms": 2}), ("loss", {"percent": 20})):
+        for kind, options in (("delay", {"ms": 2}), ("loss", {"percent": 20})):
             with self.subTest(kind=kind):
-                self.faults.set_rules(rules(kind, **more))
+                self.faults.set_rules(rules(kind, **options))
                 far = await self.dial(self.far)
                 lines = [b"%d\n" % number for number in range(20)]
                 for line in lines:
                     far[1].write(line)
                 got = [
-                    await wait_for(far[0].readline(), PATIENCE_S)
-                    for _ in lines
+                    await wait_for(far[0].readline(), TIMEOUT_S) for _ in lines
                 ]
                 self.assertEqual(got, lines)
                 self.faults.set_rules(())
@@ -164,14 +163,14 @@
         self.faults.set_rules(rules("delay", ms=1))
         far = await gather(*(self.dial(self.far) for _ in range(20)))
         got = await gather(
-            *(self.ask(one, b"%d\n" % n) for n, one in enumerate(far))
+            *(self.echo_line(one, b"%d\n" % n) for n, one in enumerate(far))
         )
         self.assertEqual(got, [b"%d\n" % n for n in range(20)])
 
 
 class LibrariesTest(LinkCase):
     async def test_mysql_driver_is_cut_too(self):
-        """A driver's query across a cut hangs; it goes on afterwards."""
+        """A driver's query hangs during a cut and completes afterwards."""
         members = {"a": Endpoint(FAR)}
         group = GroupStandin(GroupSettings("g", members, connect_ms=0))
         await group.start()
@@ -180,11 +179,11 @@
         driver = await connect(host=FAR, port=port, user="u", password="p")
         self.addCleanup(driver.close)
         self.faults.set_rules(rules())
-        asked = create_task(self.select_one(driver))
+        pending = create_task(self.select_one(driver))
         await self.pass_time()
-        self.assertFalse(asked.done())
+        self.assertFalse(pending.done())
         self.faults.set_rules(rules("delay", ms=1))
-        self.assertEqual(await wait_for(asked, PATIENCE_S), ((1,),))
+        self.assertEqual(await wait_for(pending, TIMEOUT_S), ((1,),))
 
     async def select_one(self, driver):
         async with driver.cursor() as cursor:
@@ -192,7 +191,7 @@
             return await cursor.fetchall()
 
     async def test_rpc_is_cut_too(self):
-        """A call between two of our processes across a cut hangs."""
+        """A call between two of the system's processes hangs in a cut."""
         async with kj_loop():
             server = await AsyncIoStream.create_server(serve_node, FAR, 0)
             port = server.sockets[0].getsockname()[1]
@@ -201,13 +200,13 @@
             node = client.bootstrap().cast_as(SCHEMA.Node)
             for rule in ((), rules("delay", ms=1)):
                 self.faults.set_rules(rule)
-                await wait_for(fleet_of(node), PATIENCE_S)
+                await wait_for(fleet_of(node), TIMEOUT_S)
             self.faults.set_rules(rules())
-            asked = create_task(fleet_of(node))
+            pending = create_task(fleet_of(node))
             await self.pass_time()
-            self.assertFalse(asked.done())
+            self.assertFalse(pending.done())
             self.faults.set_rules(())
-            await wait_for(asked, PATIENCE_S)
+            await wait_for(pending, TIMEOUT_S)
             stream.close()
             server.close()
 
--- a/redwingpost/adapters/tests/test_mysql_values.py
+++ b/redwingpost/adapters/tests/test_mysql_values.py
@@ -1,4 +1,4 @@
-"""Tests of carrying values from a member's text to a driver."""
+"""Tests of the conversion of a member's text values for a driver."""
 
 from unittest import TestCase
 
--- a/redwingpost/adapters/tests/test_platform_http.py
+++ b/redwingpost/adapters/tests/test_platform_http.py
@@ -1,4 +1,4 @@
-"""Tests of what a failed call to the platform says about the store."""
+"""Tests of the result codes of failed calls to the platform."""
 
 from asyncio import Event, run, start_server
 from collections.abc import Awaitable, Callable
@@ -15,18 +15,18 @@
 WRITES = (Write("t", "k", {"a": 1}),)
 
 
-def answer(status: int, body: bytes = b"{}") -> bytes:
-    """Return a whole HTTP answer."""
+def http_response(status: int, body: bytes = b"{}") -> bytes:
+    """Return a complete HTTP response."""
     head = f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n"
     return head.encode() + b"Content-Type: application/json\r\n\r\n" + body
 
 
-async def ask(
+async def call_platform(
     sent: bytes | None,
     call: Callable[[HttpPlatform], Awaitable[Any]],
     timeout_s: float = 10.0,
 ) -> Any:
-    """Call a platform that sends ``sent``; None keeps it silent."""
+    """Call a platform that sends ``sent``; with None it never answers."""
     done = Event()
 
     async def serve(reader: Any, writer: Any) -> None:
@@ -51,38 +51,38 @@
 
 
 def transact(platform: HttpPlatform) -> Awaitable[Any]:
-    """Make the change that the tests use."""
+    """Send the change that the tests use."""
     return platform.transact(CONDITIONS, WRITES)
 
 
 class LostAnswerTest(TestCase):
     def test_what_a_failed_change_says(self):
-        # The platform refuses a change, or breaks off before or after
-        # it took effect. An operator told "not taken" would submit a
-        # second time what already stands; so that is said only where it
-        # is proven.
+        # The platform refuses a change, or fails before or after it took
+        # effect. If a change that took effect is reported as refused, an
+        # operator would submit it twice; so it may be reported only if
+        # that is certain.
         unavailable = Code.STORE_UNAVAILABLE
         unknown = Code.STORE_OUTCOME_UNKNOWN
         table = [
-            (answer(429), unavailable),
-            (answer(503), unavailable),
-            (answer(500), unknown),
-            (answer(502), unknown),
-            (answer(504), unknown),
-            (answer(200, b"{"), unknown),
-            (answer(200, b"{}"), unknown),
-            (answer(200, b"[]"), unknown),
-            (answer(200, b"{}")[:-1], unknown),
+            (http_response(429), unavailable),
+            (http_response(503), unavailable),
+            (http_response(500), unknown),
+            (http_response(502), unknown),
+            (http_response(504), unknown),
+            (http_response(200, b"{"), unknown),
+            (http_response(200, b"{}"), unknown),
+            (http_response(200, b"[]"), unknown),
+            (http_response(200, b"{}")[:-1], unknown),
             (b"", unknown),
             (b"nonsense\r\n\r\n", unknown),
         ]
         for sent, code in table:
             with self.subTest(sent=sent):
-                result = run(ask(sent, transact))
+                result = run(call_platform(sent, transact))
                 self.assertEqual(result.error.code, code)
 
     def test_a_silent_platform(self):
-        result = run(ask(None, transact, timeout_s=0.2))
+        result = run(call_platform(None, transact, timeout_s=0.2))
         self.assertEqual(result.error.code, Code.STORE_OUTCOME_UNKNOWN)
 
     def test_a_refused_connection(self):
@@ -96,9 +96,14 @@
         self.assertEqual(run(call()).error.code, Code.STORE_UNAVAILABLE)
 
     def test_a_failed_read_has_no_effect(self):
-        for sent in (answer(500), answer(503), answer(200, b"{"), b""):
+        for sent in (
+            http_response(500),
+            http_response(503),
+            http_response(200, b"{"),
+            b"",
+        ):
             with self.subTest(sent=sent):
-                result = run(ask(sent, lambda p: p.read("t", "k")))
+                result = run(call_platform(sent, lambda p: p.read("t", "k")))
                 self.assertEqual(result.error.code, Code.STORE_UNAVAILABLE)
 
 
@@ -110,35 +115,35 @@
             b'{"vm": "v", "data_centre": "d", "ip": "127.0.0.1", '
             b'"agent_port": 1, "proxy_port": 2, "state": "live", "x": 0}'
         )
-        stands = Row("t", "k", 3, {"a": 1})
+        stored_row = Row("t", "k", 3, {"a": 1})
         table = [
-            (answer(404), lambda p: p.read("t", "k"), None),
-            (answer(200, row), lambda p: p.read("t", "k"), stands),
+            (http_response(404), lambda p: p.read("t", "k"), None),
+            (http_response(200, row), lambda p: p.read("t", "k"), stored_row),
             (
-                answer(200, b'{"rows": [' + row + b"]}"),
+                http_response(200, b'{"rows": [' + row + b"]}"),
                 lambda p: p.scan("t"),
-                (stands,),
+                (stored_row,),
             ),
             (
-                answer(200, b'{"versions": [4]}'),
+                http_response(200, b'{"versions": [4]}'),
                 transact,
                 TransactResult(True, (4,), ()),
             ),
             (
-                answer(409, conflict),
+                http_response(409, conflict),
                 transact,
-                TransactResult(False, (), (stands,)),
+                TransactResult(False, (), (stored_row,)),
             ),
-            (answer(200, b"body"), lambda p: p.get("o"), b"body"),
-            (answer(404), lambda p: p.get("o"), None),
-            (answer(200), lambda p: p.put("o", b"body"), None),
+            (http_response(200, b"body"), lambda p: p.get("o"), b"body"),
+            (http_response(404), lambda p: p.get("o"), None),
+            (http_response(200), lambda p: p.put("o", b"body"), None),
             (
-                answer(200, b'{"vms": [' + vm + b"]}"),
+                http_response(200, b'{"vms": [' + vm + b"]}"),
                 lambda p: p.vms(),
                 (VmEntry("v", "d", "127.0.0.1", 1, 2, "live"),),
             ),
         ]
         for sent, call, expected in table:
             with self.subTest(sent=sent):
-                result = run(ask(sent, call))
+                result = run(call_platform(sent, call))
                 self.assertEqual(result.ok, expected)
--- a/redwingpost/adapters/tls.py
+++ b/redwingpost/adapters/tls.py
@@ -1,9 +1,9 @@
-"""TLS contexts from the settings' certificate files, reloaded in place.
+"""TLS contexts from the settings' certificate files, with reloading.
 
-Between the system's processes both ends show a certificate of the
-fleet's own authority: a process without one gets no byte of an answer.
-Host names aren't checked, since VMs are replaced at any time and known
-by IP number; the authority signs nothing but VMs of the fleet.
+Between the system's processes both ends present a certificate of the
+fleet's own authority; a process without one receives no answer. Host
+names aren't checked, since VMs are replaced at any time and addressed by
+IP address; the authority signs certificates only for VMs of the fleet.
 """
 
 from pathlib import Path
@@ -20,16 +20,16 @@
 
 from redwingpost.settings import TlsSettings
 
-Stamp = tuple[tuple[str, int, int], ...]
+FileStamps = tuple[tuple[str, int, int], ...]
 
 
 class TlsContexts:
-    """The contexts of one process.
+    """The TLS contexts of one process.
 
     Parameters
     ----------
     settings : TlsSettings or None
-        None leaves all links in plain text.
+        Certificate files; None disables TLS on all connections.
 
     Examples
     --------
@@ -42,28 +42,28 @@
         self.server: SSLContext | None = None
         self.client: SSLContext | None = None
         self.caller: SSLContext | None = None
-        self._stamp: Stamp = ()
+        self._file_stamps: FileStamps = ()
         if settings is not None:
-            self._stamp = _stamp(settings)
+            self._file_stamps = _file_stamps(settings)
             self._load(settings)
 
     def reload(self) -> bool:
-        """Take changed files; say whether the contexts were replaced.
+        """Load changed files; return whether the contexts were replaced.
 
-        A half-written certificate must not take the process off the
-        air: the old contexts stay until the files load whole.
+        The old contexts stay until all files can be loaded, so that an
+        incomplete certificate file doesn't make the process unreachable.
         """
         if self._settings is None:
             return False
-        stamp = _stamp(self._settings)
-        if stamp == self._stamp:
+        file_stamps = _file_stamps(self._settings)
+        if file_stamps == self._file_stamps:
             return False
         try:
             self._load(self._settings)
         except (OSError, SSLError) as error:
-            logger.error("certificates not reloaded: {}", error)
+            logger.error("certificates cannot be reloaded: {}", error)
             return False
-        self._stamp = stamp
+        self._file_stamps = file_stamps
         return True
 
     def _load(self, settings: TlsSettings) -> None:
@@ -83,8 +83,9 @@
         if self.caller is None:
             self.caller = fresh
         else:
-            # The listener holds the old context object; new handshakes
-            # on it take the new certificate, open connections stay.
+            # The listener keeps a reference to the old context object, so
+            # the new certificate is loaded into it. It applies to new
+            # handshakes; open connections stay.
             self.caller.load_cert_chain(certificate, private_key)
 
 
@@ -98,8 +99,8 @@
     return context
 
 
-def _stamp(settings: TlsSettings) -> Stamp:
-    """Return what tells a changed file from an unchanged one."""
+def _file_stamps(settings: TlsSettings) -> FileStamps:
+    """Return names, modification times and sizes to detect changes."""
     stamps = []
     for name in settings:
         path = Path(name) if name else None
--- a/redwingpost/adapters/traffic.py
+++ b/redwingpost/adapters/traffic.py
@@ -1,9 +1,8 @@
-"""Bytes of control traffic, as the kernel counted them.
+"""Bytes of control traffic, from the kernel's counters.
 
-Linux counts for each TCP connection what was acknowledged and what was
-received (``TCP_INFO``), so nothing needs to be put under the RPC
-library's connections. Reading costs two system calls for each open
-connection, at each scrape.
+Linux counts the acknowledged and the received bytes of each TCP
+connection (``TCP_INFO``), so the RPC library's connections need no
+wrapper. Each scrape costs two system calls per open connection.
 
 References
 ----------
@@ -31,15 +30,15 @@
 from redwingpost.adapters.peer import PeerAddress
 
 #: Offset of ``tcpi_bytes_acked``, followed by ``tcpi_bytes_received``:
-#: 8 bytes of small fields, 24 words and two rates stand before it.
+#: it follows 8 bytes of small fields, 24 words and two rates.
 _BYTES_OFFSET = 120
 _INFO_BYTES = 136
 
 LINKS = ("peer", "store", "local")
 
 
-class Carried(NamedTuple):
-    """Bytes that a connection carried since it was opened."""
+class ByteCounts(NamedTuple):
+    """Bytes transferred by a connection since it was opened."""
 
     sent: int
     received: int
@@ -48,19 +47,20 @@
 class ControlTraffic(Collector):
     """Counts the bytes of a process's control connections.
 
-    A connection's last bytes before its end are missed: those since the
-    scrape before.
+    Bytes that a connection transfers between the last scrape and its end
+    are not counted.
 
     Parameters
     ----------
     own_ip : str
-        Connections to oneself are ``local``: they cross no network.
+        This process's address; connections to it count as ``local``,
+        since they use no network.
     listen_port : callable
-        Where peers are served.
+        Returns the port at which peers are served.
     dialled : callable
-        Addresses of peers that are called.
+        Returns the addresses of the peers that are called.
     store : PeerAddress or None
-        The platform, for the link ``store``.
+        The platform's address, for the link ``store``.
     """
 
     def __init__(
@@ -74,17 +74,17 @@
         self._listen_port = listen_port
         self._dialled = dialled
         self._store = store
-        self._seen_by_connection: dict[tuple, Carried] = {}
+        self._counts_by_connection: dict[tuple, ByteCounts] = {}
         self._totals = {
             (link, way): 0 for link in LINKS for way in ("sent", "received")
         }
 
     def register(self, registry: CollectorRegistry) -> None:
-        """Show the counters in a registry."""
+        """Register the counters."""
         registry.register(self)
 
     def collect(self) -> Iterator[CounterMetricFamily]:
-        """Return the counters; asks the kernel now."""
+        """Return the counters after reading them from the kernel."""
         self._sample()
         family = CounterMetricFamily(
             "redwing_control_bytes",
@@ -96,24 +96,26 @@
         yield family
 
     def describe(self) -> Iterator[CounterMetricFamily]:
-        """Name the counters without asking the kernel."""
+        """Return the counters' names without reading from the kernel."""
         yield CounterMetricFamily("redwing_control_bytes", "")
 
     def _sample(self) -> None:
-        alive = {}
+        counts_by_connection = {}
         for connection, seen in read_connections():
             link = self._link(*connection)
             if link is None:
                 continue
-            alive[connection] = seen
-            before = self._seen_by_connection.get(connection, Carried(0, 0))
+            counts_by_connection[connection] = seen
+            before = self._counts_by_connection.get(
+                connection, ByteCounts(0, 0)
+            )
             self._totals[link, "sent"] += max(0, seen.sent - before.sent)
-            grown = max(0, seen.received - before.received)
-            self._totals[link, "received"] += grown
-        self._seen_by_connection = alive
+            received = max(0, seen.received - before.received)
+            self._totals[link, "received"] += received
+        self._counts_by_connection = counts_by_connection
 
     def _link(self, own: PeerAddress, other: PeerAddress) -> str | None:
-        """Say what a connection is for; None if it isn't control."""
+        """Return a connection's link; None if it isn't control traffic."""
         if other == self._store:
             return "store"
         accepted = own.port == self._listen_port()
@@ -123,36 +125,36 @@
 
 
 def read_connections() -> (
-    Iterator[tuple[tuple[PeerAddress, PeerAddress], Carried]]
+    Iterator[tuple[tuple[PeerAddress, PeerAddress], ByteCounts]]
 ):
-    """Iterate over this process's TCP connections: own end, other end."""
+    """Yield the ends (own, other) and byte counts of TCP connections."""
     for name in listdir("/proc/self/fd"):
-        found = _read(int(name))
+        found = _read_socket(int(name))
         if found is not None:
             yield found
 
 
-def _read(
+def _read_socket(
     descriptor: int,
-) -> tuple[tuple[PeerAddress, PeerAddress], Carried] | None:
+) -> tuple[tuple[PeerAddress, PeerAddress], ByteCounts] | None:
     """Return a TCP connection's ends and bytes; None for anything else."""
     try:
-        opened = socket(fileno=descriptor)
+        tcp_socket = socket(fileno=descriptor)
     except OSError:
         return None
     try:
-        if opened.family != AF_INET:
+        if tcp_socket.family != AF_INET:
             return None
-        if opened.getsockopt(SOL_SOCKET, SO_TYPE) != SOCK_STREAM:
+        if tcp_socket.getsockopt(SOL_SOCKET, SO_TYPE) != SOCK_STREAM:
             return None
         ends = (
-            PeerAddress(*opened.getsockname()),
-            PeerAddress(*opened.getpeername()),
+            PeerAddress(*tcp_socket.getsockname()),
+            PeerAddress(*tcp_socket.getpeername()),
         )
-        info = opened.getsockopt(IPPROTO_TCP, TCP_INFO, _INFO_BYTES)
+        info = tcp_socket.getsockopt(IPPROTO_TCP, TCP_INFO, _INFO_BYTES)
         sent, received = unpack_from("=QQ", info, _BYTES_OFFSET)
-        return ends, Carried(sent, received)
+        return ends, ByteCounts(sent, received)
     except OSError:
         return None
     finally:
-        opened.detach()
+        tcp_socket.detach()
