--- a/redwingpost/cli/tests/test_ctl.py
+++ b/redwingpost/cli/tests/test_ctl.py
@@ -13,7 +13,7 @@
 from typer.testing import CliRunner
 
 from redwingpost.agent import Agent
-from redwingpost.agent.tests.fleet import heard
+from redwingpost.agent.tests.fleet import known_live_vms
 from redwingpost.cli.ctl import app
 from redwingpost.configuration.keys import hash_key
 from redwingpost.configuration.tests.test_parse import GOOD, PUNO, with_change
@@ -105,7 +105,7 @@
         platform.vms.put(listed, now=0.0)
 
     def _has_met(self, agent: Agent) -> bool:
-        return len(heard(agent)) == 2
+        return len(known_live_vms(agent)) == 2
 
     @property
     def address(self) -> str:
