--- a/redwingpost/proxy/__init__.py
+++ b/redwingpost/proxy/__init__.py
@@ -1,4 +1,4 @@
-"""The proxy process: callers' statements to targets and back."""
+"""The proxy process: runs callers' statements on the targets."""
 
 from redwingpost.proxy.service import Proxy
 
--- a/redwingpost/proxy/caller.py
+++ b/redwingpost/proxy/caller.py
@@ -1,22 +1,22 @@
-"""What a proxy keeps of one caller's connection."""
+"""State that a proxy keeps for one caller's connection."""
 
 from typing import NamedTuple
 
 from redwingpost.core import Position
 from redwingpost.sessions import SessionPositions
 
-#: Sessions one connection may carry side by side; a pooled application
-#: connection rarely serves more in its life, and beyond this the oldest
-#: is dropped, whose next read then asks the primary.
+#: Sessions that one connection may use concurrently. A pooled application
+#: connection rarely serves more in its lifetime. Beyond the limit the
+#: oldest one is dropped, and its next read goes to the primary.
 MAX_SESSIONS = 64
 
 
-class SeenAt(NamedTuple):
-    """Where and until when a session's last read ran.
+class LastRead(NamedTuple):
+    """Member of a session's last read and the time it ended (seconds).
 
-    What it saw is covered by any status of the member that was asked for
-    after ``until`` (seconds); before one has come, later reads of the
-    session stay on the member, or they might see an older state.
+    A status of the member that was requested after ``until`` covers what
+    the read returned. Until one arrives, later reads of the session stay
+    on the member, because another replica might return an older state.
     """
 
     member: str
@@ -24,28 +24,28 @@
 
 
 class CallerSessionState:
-    """Positions of one session as this connection knows them."""
+    """Positions of one session, as far as this connection has them."""
 
     def __init__(self) -> None:
         self.positions = SessionPositions()
-        self.seen_by_group: dict[str, SeenAt] = {}
+        self.last_read_by_group: dict[str, LastRead] = {}
 
     def advance(self, group: str, position: Position) -> None:
-        """Note a position that the session saw or wrote."""
+        """Record a position that the session read or wrote."""
         self.positions.advance(group, position)
 
 
 class Caller:
-    """One connection: who it is and what it has open.
+    """Identity and state of one caller's connection.
 
     Parameters
     ----------
     organisation, key_hash : str
-        As proven at the handshake.
+        As authenticated in the handshake.
     group : str
         The connection's database group.
     connection_id : int
-        Number in logs and in ``SELECT CONNECTION_ID()``.
+        Number shown in logs and by ``SELECT CONNECTION_ID()``.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         self._states_by_session: dict[str, CallerSessionState] = {}
 
     def state(self, session: str) -> CallerSessionState:
-        """Return the state of a session, the oldest giving way."""
+        """Return a session's state; a new one may replace the oldest."""
         state = self._states_by_session.get(session)
         if state is None:
             if len(self._states_by_session) >= MAX_SESSIONS:
@@ -71,10 +71,10 @@
             self._states_by_session[session] = state
         return state
 
-    def forget(self) -> None:
-        """Drop what COM_RESET_CONNECTION drops.
+    def clear_state(self) -> None:
+        """Clear the state that COM_RESET_CONNECTION clears.
 
-        Positions stay: the caller's own writes are still its own.
+        Positions are kept, so that the caller still reads its own writes.
         """
         self.autocommit = True
         self.last_insert_id = 0
--- a/redwingpost/proxy/classify.py
+++ b/redwingpost/proxy/classify.py
@@ -1,8 +1,8 @@
-"""Sort statements by what they may do, without parsing them.
+"""Classify statements by what they may do, without parsing them.
 
-The first word and a few words inside decide. Where they leave a doubt,
-the statement counts as a write: a read sent to the primary costs load, a
-write sent to a replica would be lost.
+The first word and a few keywords decide. If they are ambiguous, the
+statement counts as a write: a read sent to the primary only adds load,
+while a write sent to a replica would be lost.
 """
 
 from functools import lru_cache
@@ -11,30 +11,31 @@
 
 from redwingpost.core import Code, ResultCode, StatementKind
 
-#: Bytes of one statement; the packet limit of the callers' side.
+#: Longest statement (characters); equal to the packet limit for callers,
+#: which is in bytes.
 MAX_STATEMENT_CHARACTERS = 8 * 1024 * 1024
 
-#: Statement texts kept with their class. Drivers without prepared
+#: Statements in the cache of classifications. Drivers without prepared
 #: statements send every value inside the text, so few texts repeat; the
-#: cache serves fixed ones (BEGIN, COMMIT, catalogue pages).
+#: cache is for constant ones (BEGIN, COMMIT, catalogue pages).
 _CACHED_STATEMENTS = 2048
 
-#: Longest statement worth a place in the cache, in characters.
+#: Longest statement that is cached (characters).
 _CACHED_CHARACTERS = 256
 
 
-class Classified(NamedTuple):
+class Classification(NamedTuple):
     """A statement's class; ``refusal`` is set for REFUSED ones."""
 
     statement_class: StatementKind
     refusal: ResultCode | None = None
 
 
-# The patterns are linear in the text. One that looks at the rest of the
-# text again for each quote that doesn't close, or for each of many
-# blanks, takes hours for a statement of megabytes, and the one loop
-# serves nobody meanwhile. So what doesn't close reaches to the end, and
-# nothing is given back once matched ("*+").
+# The patterns take linear time. One that scans the rest of the text again
+# for each unclosed quote, or for each of many blanks, takes hours for a
+# statement of megabytes and blocks the event loop for all callers. So an
+# unclosed quote or comment matches to the end of the text, and quantifiers
+# are possessive ("*+"): they don't backtrack.
 _FIRST_WORD = re_compile(r"[\s(]*+(\w+)")
 _QUOTED = re_compile(
     r"'(?:[^'\\]|\\.|'')*+(?:'|\\?\Z)"
@@ -72,25 +73,25 @@
         "DO",
     }
 )
-_BY_WORD = {
-    "BEGIN": Classified(StatementKind.BEGIN),
-    "START": Classified(StatementKind.BEGIN),
-    "COMMIT": Classified(StatementKind.COMMIT),
-    "ROLLBACK": Classified(StatementKind.ROLLBACK),
-    "SET": Classified(StatementKind.SESSION),
-    "USE": Classified(StatementKind.SESSION),
-    "LOAD": Classified(StatementKind.REFUSED, Code.LOAD_DATA),
-    "REDWING": Classified(StatementKind.REFUSED, Code.CONTROL_STATEMENT),
+_CLASSIFICATIONS_BY_WORD = {
+    "BEGIN": Classification(StatementKind.BEGIN),
+    "START": Classification(StatementKind.BEGIN),
+    "COMMIT": Classification(StatementKind.COMMIT),
+    "ROLLBACK": Classification(StatementKind.ROLLBACK),
+    "SET": Classification(StatementKind.SESSION),
+    "USE": Classification(StatementKind.SESSION),
+    "LOAD": Classification(StatementKind.REFUSED, Code.LOAD_DATA),
+    "REDWING": Classification(StatementKind.REFUSED, Code.CONTROL_STATEMENT),
 }
-_READ = Classified(StatementKind.READ)
-_WRITE = Classified(StatementKind.WRITE)
-_UNSUPPORTED = Classified(StatementKind.REFUSED, Code.UNSUPPORTED)
-_MULTI = Classified(StatementKind.REFUSED, Code.MULTI_STATEMENT)
-_TOO_LARGE = Classified(StatementKind.REFUSED, Code.TOO_LARGE)
+_READ = Classification(StatementKind.READ)
+_WRITE = Classification(StatementKind.WRITE)
+_UNSUPPORTED = Classification(StatementKind.REFUSED, Code.UNSUPPORTED)
+_MULTI = Classification(StatementKind.REFUSED, Code.MULTI_STATEMENT)
+_TOO_LARGE = Classification(StatementKind.REFUSED, Code.TOO_LARGE)
 
 
-def classify(sql: str) -> Classified:
-    """Return what a statement may do.
+def classify(sql: str) -> Classification:
+    """Return the class of a statement, or why it is refused.
 
     Parameters
     ----------
@@ -113,22 +114,23 @@
     return _classify(sql)
 
 
-def _classify(sql: str) -> Classified:
-    bare = sql
+def _classify(sql: str) -> Classification:
+    stripped = sql
     if any(mark in sql for mark in "'\"`#/-"):
-        bare = _QUOTED.sub(_blank, sql)
-    if ";" in bare and _AFTER_SEMICOLON.search(bare):
+        stripped = _QUOTED.sub(_blank_out, sql)
+    if ";" in stripped and _AFTER_SEMICOLON.search(stripped):
         return _MULTI
-    # A version comment runs on the member but would hide its words here.
-    if "/*" in bare:
+    # A member executes a version comment, but its keywords are not
+    # recognised here.
+    if "/*" in stripped:
         return _UNSUPPORTED
-    match = _FIRST_WORD.match(bare)
+    match = _FIRST_WORD.match(stripped)
     if match is None:
         return _UNSUPPORTED
-    return _by_word(match.group(1).upper(), bare)
+    return _classify_by_word(match.group(1).upper(), stripped)
 
 
-def _blank(found: Match) -> str:
+def _blank_out(found: Match) -> str:
     text = found.group()
     if text.startswith("/*") and not text.endswith("*/"):
         return "/*"
@@ -138,24 +140,26 @@
 _classify_cached = lru_cache(maxsize=_CACHED_STATEMENTS)(_classify)
 
 
-def _by_word(word: str, bare: str) -> Classified:
-    if word in _BY_WORD:
-        return _BY_WORD[word]
+def _classify_by_word(word: str, stripped: str) -> Classification:
+    if word in _CLASSIFICATIONS_BY_WORD:
+        return _CLASSIFICATIONS_BY_WORD[word]
     if word in _READS:
-        return _class_of_read(bare)
+        return _classify_read(stripped)
     if word == "WITH":
-        return _WRITE if _WRITING.search(bare) else _class_of_read(bare)
+        return (
+            _WRITE if _WRITING.search(stripped) else _classify_read(stripped)
+        )
     if word in _WRITES:
-        # A temporary table belongs to one connection; the next statement
-        # may run on another, where it is missing.
-        return _UNSUPPORTED if _TEMPORARY.match(bare) else _WRITE
+        # A temporary table exists on one connection only, and the next
+        # statement may run on another one.
+        return _UNSUPPORTED if _TEMPORARY.match(stripped) else _WRITE
     return _UNSUPPORTED
 
 
-def _class_of_read(bare: str) -> Classified:
-    if _INTO.search(bare):
+def _classify_read(stripped: str) -> Classification:
+    if _INTO.search(stripped):
         return _UNSUPPORTED
-    # A user variable lives in one connection of the member.
-    if "@" in bare and _VARIABLE.search(bare):
+    # A user variable exists on one connection to the member only.
+    if "@" in stripped and _VARIABLE.search(stripped):
         return _UNSUPPORTED
-    return _WRITE if _LOCKING.search(bare) else _READ
+    return _WRITE if _LOCKING.search(stripped) else _READ
--- a/redwingpost/proxy/parts.py
+++ b/redwingpost/proxy/components.py
@@ -1,4 +1,4 @@
-"""The parts of a proxy that its sessions share."""
+"""The components of a proxy that its sessions share."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -17,8 +17,8 @@
 from redwingpost.sessions import TokenMinter
 
 
-class Parts(NamedTuple):
-    """What one statement may need; ``sessions`` are the open ones."""
+class Components(NamedTuple):
+    """Shared components of a proxy; ``sessions`` are the open ones."""
 
     clock: Clock
     keys: KeyRing
--- a/redwingpost/proxy/drain.py
+++ b/redwingpost/proxy/drain.py
@@ -1,45 +1,44 @@
-"""When a proxy that is asked to stop may do what.
+"""Steps of a planned stop of a proxy under load.
 
-Answers planned stops under load. A proxy that closes its port at once
-turns away callers whom the balancer still sends; one that closes its
-connections once nothing runs cuts a request that is just arriving. So it
-first turns unready and goes on serving until the balancer has noticed,
-then takes no new connections, then waits until nothing runs and has run
-for a moment. Without the first step a rolling replacement of six VMs
-refuses a few connections each time; without the last it cuts requests
-of callers with open connections.
+A proxy that closes its port at once refuses callers that the load balancer
+still sends. One that closes its connections as soon as nothing runs aborts
+a request that is just arriving. So it first reports that it is not ready
+and keeps serving until the balancer has noticed, then accepts no new
+connections, then waits until nothing has run for a short period. Without
+the first step each rolling replacement of six VMs refuses a few
+connections; without the last it aborts requests on open connections.
 """
 
 from enum import Enum
 from typing import NamedTuple
 
-#: Seconds without a statement until idle connections may be closed: a
-#: request that was sent before the balancer turned away is here by then.
-QUIET_S = 0.25
+#: Seconds without a statement until idle connections may be closed. A
+#: request that was sent before the balancer switched has arrived by then.
+QUIET_PERIOD_S = 0.25
 
 #: Longest wait for open transactions and running statements (seconds),
-#: from when no new connections are taken: longer than the default
-#: deadline of a request, so that none is cut that anyone still awaits.
-FINISH_LIMIT_S = 8.0
+#: from when no new connections are accepted. It is longer than the default
+#: deadline of a request, so that none is aborted before its deadline.
+FINISH_TIMEOUT_S = 8.0
 
 
 class DrainStep(Enum):
-    """What a proxy that drains does now."""
+    """Current step of a draining proxy."""
 
-    #: Unready, but serving all the same.
+    #: Not ready, but still serving new connections.
     SERVE = "serve"
-    #: No new connections; what is open goes on.
+    #: No new connections; open ones are still served.
     FINISH = "finish"
-    #: Nothing runs any more.
+    #: Nothing runs any more; connections may be closed.
     CLOSE = "close"
-    #: The limit is reached with statements still running.
+    #: The timeout has passed; running statements are aborted.
     CUT = "cut"
 
 
 class Drain(NamedTuple):
     """A drain that began at ``began_at`` (seconds).
 
-    ``leave_s`` is how long the balancer takes to notice.
+    ``leave_s`` is the time until the balancer has noticed (seconds).
 
     Examples
     --------
@@ -56,7 +55,7 @@
     leave_s: float
 
     def step(self, now: float, busy: int, last_busy_at: float) -> DrainStep:
-        """Return what to do at ``now``.
+        """Return the step at ``now``.
 
         Parameters
         ----------
@@ -65,13 +64,13 @@
         busy : int
             Connections with a statement running or a transaction open.
         last_busy_at : float
-            When one was last seen busy.
+            Time at which one was last found busy (seconds).
         """
-        leaving_until = self.began_at + self.leave_s
-        if now < leaving_until:
+        serve_until = self.began_at + self.leave_s
+        if now < serve_until:
             return DrainStep.SERVE
-        if busy == 0 and now - last_busy_at >= QUIET_S:
+        if busy == 0 and now - last_busy_at >= QUIET_PERIOD_S:
             return DrainStep.CLOSE
-        if now >= leaving_until + FINISH_LIMIT_S:
+        if now >= serve_until + FINISH_TIMEOUT_S:
             return DrainStep.CUT
         return DrainStep.FINISH
--- a/redwingpost/proxy/feed.py
+++ b/redwingpost/proxy/feed.py
@@ -1,8 +1,8 @@
-"""What the proxy takes from its VM's agent, by long poll.
+"""Receive configuration, views and rate shares from the VM's agent.
 
-The proxy goes on with what it has while its agent is away, for as long
-as keys may go unconfirmed; nothing it took is ever taken back by an
-agent that knows less.
+The proxy polls the agent and each poll waits for news. While the agent is
+unreachable, the proxy continues with its last data for as long as keys may
+stay unconfirmed. An agent with older or no data never replaces it.
 """
 
 from collections.abc import Callable, Iterable
@@ -27,25 +27,26 @@
     from_age_ms,
 )
 
-#: Longest wait of one poll (seconds): the age of the key confirmation
-#: is renewed that often, at a cost of one small message on one VM.
-POLL_S = 1.0
+#: Longest wait of one poll (seconds). The age of the key confirmation is
+#: renewed this often, at the cost of one small message within the VM.
+POLL_WAIT_S = 1.0
 
-#: Seconds beyond the poll's wait until the agent counts as away.
-POLL_MARGIN_S = 2.0
+#: Seconds beyond the poll's wait until the agent counts as unreachable.
+ANSWER_MARGIN_S = 2.0
 
-#: Seconds that the last word to the agent may take.
-GOODBYE_S = 0.5
+#: Timeout of the last report to the agent (seconds).
+FINAL_REPORT_TIMEOUT_S = 0.5
 
-#: Seconds between two attempts while the agent is away.
-RETRY_S = 0.2
+#: Pause between two polls while the agent is unreachable (seconds).
+RETRY_PAUSE_S = 0.2
 
 
-class FedShare(NamedTuple):
+class FeedShare(NamedTuple):
     """A part of an organisation's rate, granted until ``valid_until``.
 
-    ``epoch`` names the grant; the time is seconds on the proxy's clock,
-    counted from before the poll that brought it.
+    ``epoch`` identifies the grant. ``valid_until`` is in seconds on the
+    proxy's clock and is computed from the start of the poll that returned
+    the share.
     """
 
     organisation: str
@@ -54,40 +55,40 @@
     valid_until: float
 
 
-class FedPeer(NamedTuple):
-    """Another VM and when it was last known alive (own clock)."""
+class FeedPeer(NamedTuple):
+    """Another VM and when it was last known to be alive (own clock)."""
 
     address: VmAddress
     draining: bool
-    heard_at: float
+    last_alive_at: float
 
 
 class AgentFeed(Service):
-    """Polls the agent and hands on what is new.
+    """Polls the agent and passes on what has changed.
 
     Parameters
     ----------
     agent : PeerAddress
         The agent of this VM.
     clients : PeerClients
-        For the call.
+        Connections to the agent.
     directory : Directory
-        Takes configurations and views.
+        Updated with configurations and views.
     keys : KeyRing
-        Takes grants, withdrawals and confirmations.
+        Updated with grants, withdrawals and confirmations.
     clock : Clock
         Source of time.
 
     Attributes
     ----------
     on_withdrawn : callable
-        Told of new withdrawals, to cut what is open.
+        Called with new withdrawals, to end the sessions of their keys.
     on_configured : callable
-        Told that another configuration is in force.
+        Called when another configuration has come into force.
     on_peers, on_shares : callable
-        Told of the other VMs and of this VM's shares.
+        Called with the other VMs and with this VM's shares.
     on_drain : callable
-        Told once that the VM has to drain.
+        Called once when the VM has to drain.
     """
 
     def __init__(
@@ -105,22 +106,22 @@
         self._directory = directory
         self._keys = keys
         self._clock = clock
-        self._held = ConfigurationState()
+        self._configuration_state = ConfigurationState()
         self._revision = 0
-        self._drained = False
+        self._drain_reported = False
         self.on_withdrawn: Callable[[Iterable[Withdrawal]], None] = _ignore
         self.on_configured: Callable[[], None] = _ignore
-        self.on_peers: Callable[[tuple[FedPeer, ...]], None] = _ignore
-        self.on_shares: Callable[[tuple[FedShare, ...]], None] = _ignore
+        self.on_peers: Callable[[tuple[FeedPeer, ...]], None] = _ignore
+        self.on_shares: Callable[[tuple[FeedShare, ...]], None] = _ignore
         self.on_drain: Callable[[], None] = _ignore
 
     @property
     def version(self) -> int:
         """The configuration version in force."""
-        return self._held.version
+        return self._configuration_state.version
 
     async def on_stop(self) -> None:
-        """Tell the agent that nothing is polling any more."""
+        """Report to the agent that this proxy no longer serves."""
         await self._clients.call(
             self._agent,
             lambda node: node.local().local.report(
@@ -129,17 +130,17 @@
                 connections=0,
                 activeOrganisations=[],
             ),
-            GOODBYE_S,
+            FINAL_REPORT_TIMEOUT_S,
         )
 
     @Service.task
     async def _poll_forever(self) -> None:
         while not self.should_stop:
             if not await self.poll():
-                await self.sleep(RETRY_S)
+                await self.sleep(RETRY_PAUSE_S)
 
-    async def poll(self, wait_s: float = POLL_S) -> bool:
-        """Poll once; say whether the agent answered."""
+    async def poll(self, wait_s: float = POLL_WAIT_S) -> bool:
+        """Poll once; return whether the agent answered."""
         began_at = self._clock.now()
         revision, wait_ms = self._revision, int(wait_s * 1000)
         answer = await self._clients.call(
@@ -147,19 +148,19 @@
             lambda node: node.local().local.feed(
                 revision=revision, waitMs=wait_ms
             ),
-            wait_s + POLL_MARGIN_S,
+            wait_s + ANSWER_MARGIN_S,
         )
         if answer.is_error():
             return False
-        self._take(answer.ok.feed, began_at)
+        self._apply(answer.ok.feed, began_at)
         return True
 
-    def _take(self, feed: Any, began_at: float) -> None:
-        """Take in an answer; its ages count from before the poll."""
+    def _apply(self, feed: Any, began_at: float) -> None:
+        """Apply an answer; its times count from the start of the poll."""
         if feed._has("withdrawals"):
             self._withdraw(decode_withdrawals(feed.withdrawals))
         if feed._has("configuration"):
-            self._take_configuration(feed.configuration)
+            self._apply_configuration(feed.configuration)
         if feed._has("views"):
             for view in decode_views(feed.views):
                 self._directory.observe(view)
@@ -169,21 +170,23 @@
             self.on_shares(_decode_shares(feed.shares, began_at))
         if feed.confirmedMs != MAX_AGE_MS:
             self._keys.confirm(began_at - from_age_ms(feed.confirmedMs))
-        if feed.draining and not self._drained:
-            self._drained = True
+        if feed.draining and not self._drain_reported:
+            self._drain_reported = True
             self.on_drain()
         self._revision = feed.revision
 
-    def _take_configuration(self, reader: Any) -> None:
+    def _apply_configuration(self, reader: Any) -> None:
         copy = decode_version(reader)
         if copy.version == 0:
             return
-        offer = self._held.offer(copy)
+        offer = self._configuration_state.offer(copy)
         if offer is OfferResult.BROKEN:
-            logger.error("version {} can't be read", copy.version)
+            logger.error(
+                "configuration version {} can't be read", copy.version
+            )
         if offer is not OfferResult.TAKEN:
             return
-        configuration = self._held.configuration
+        configuration = self._configuration_state.configuration
         self._withdraw(configuration.withdrawn)
         self._keys.grant(configuration)
         self._directory.configure(configuration, copy.version)
@@ -196,7 +199,7 @@
             self.on_withdrawn(new)
 
 
-def _decode_peers(readers: Any, began_at: float) -> tuple[FedPeer, ...]:
+def _decode_peers(readers: Any, began_at: float) -> tuple[FeedPeer, ...]:
     peers = []
     for reader in readers:
         beat, age_s = decode_beat(reader)
@@ -208,13 +211,13 @@
             proxy_port=beat.proxy_port,
             incarnation=beat.incarnation,
         )
-        peers.append(FedPeer(address, beat.draining, began_at - age_s))
+        peers.append(FeedPeer(address, beat.draining, began_at - age_s))
     return tuple(peers)
 
 
-def _decode_shares(readers: Any, began_at: float) -> tuple[FedShare, ...]:
+def _decode_shares(readers: Any, began_at: float) -> tuple[FeedShare, ...]:
     return tuple(
-        FedShare(
+        FeedShare(
             organisation=reader.organisation,
             parts_per_million=reader.partsPerMillion,
             epoch=reader.epoch,
@@ -225,4 +228,4 @@
 
 
 def _ignore(*_news: Any) -> None:
-    """Take no notice: the default of the feed's callbacks."""
+    """Do nothing; the default of the feed's callbacks."""
--- a/redwingpost/proxy/forward_server.py
+++ b/redwingpost/proxy/forward_server.py
@@ -1,8 +1,8 @@
-"""The home VM's side of forwarding: run other VMs' statements.
+"""Home VM's side of forwarding: run the statements of other VMs.
 
-The home checks key, group and marks anew: it holds the same
-configuration, and a forwarding VM that missed a withdrawal must not get
-a statement through.
+The home checks key, group and marks again. It has the same configuration,
+and it must refuse a withdrawn key even if the forwarding VM has missed the
+withdrawal.
 """
 
 from collections.abc import Callable
@@ -20,10 +20,11 @@
     encode_positions,
 )
 
-#: Makes a session: organisation, key hash, group, connection number.
-MakeSession = Callable[[str, str, str, int], StatementSession]
+#: Creates a session for an organisation, key hash, group and connection
+#: number.
+SessionFactory = Callable[[str, str, str, int], StatementSession]
 
-#: Schedules a coroutine on the proxy's loop.
+#: Schedules a coroutine on the proxy's event loop.
 Spawn = Callable[[Any], Any]
 
 
@@ -33,7 +34,7 @@
     Parameters
     ----------
     session : StatementSession
-        What runs the statements.
+        Runs the statements.
     """
 
     def __init__(self, session: StatementSession) -> None:
@@ -58,7 +59,7 @@
         _context.results.answer = struct
 
     async def end(self, _context: Any, **kwargs: Any) -> None:
-        """Roll back what is open: the caller has gone."""
+        """Roll back an open transaction: the caller has disconnected."""
         await self._session.close()
 
 
@@ -68,12 +69,12 @@
     Parameters
     ----------
     make_session : callable
-        Makes a statement session of this proxy.
+        Creates a statement session of this proxy.
     spawn : callable
         Schedules a coroutine.
     """
 
-    def __init__(self, make_session: MakeSession, spawn: Spawn) -> None:
+    def __init__(self, make_session: SessionFactory, spawn: Spawn) -> None:
         self._make_session = make_session
         self._spawn = spawn
 
@@ -90,13 +91,13 @@
         session = self._make_session(organisation, keyHash, group, connection)
         session.is_forwarded = True
         server = ForwardedSessionServer(session)
-        # A forwarding VM that dies can't end its sessions. Its RPC
-        # connection breaks, the library lets go of the capability, and
-        # without this its open transactions would hold their locks
-        # until the member's own time-out.
-        finalize(server, self._abandon, session)
+        # A forwarding VM that crashes can't end its sessions. Its RPC
+        # connection breaks and the library releases the server object.
+        # Without the finalizer, open transactions would then hold their
+        # locks until the member's own timeout.
+        finalize(server, self._on_released, session)
         return server
 
-    def _abandon(self, session: StatementSession) -> None:
+    def _on_released(self, session: StatementSession) -> None:
         logger.debug("forwarded connection {} ended", session.connection_id)
         self._spawn(session.close())
--- a/redwingpost/proxy/forwarder.py
+++ b/redwingpost/proxy/forwarder.py
@@ -1,4 +1,4 @@
-"""The forwarding VM's side: send a group's statements to a home VM."""
+"""Forwarding VM's side: send a group's statements to a home VM."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any, NamedTuple
@@ -36,16 +36,17 @@
     encode_positions,
 )
 
-#: Seconds beyond a request's deadline that a home gets for its answer:
-#: it answers by the deadline itself, so a later one means it is lost.
+#: Seconds beyond a request's deadline until a home counts as lost. A home
+#: answers by the deadline itself.
 ANSWER_GRACE_S = 1.0
 
-#: Seconds to open a forwarded connection; it takes two round trips.
-OPEN_LIMIT_S = 1.0
+#: Timeout for opening a forwarded connection (seconds); it takes two round
+#: trips.
+OPEN_TIMEOUT_S = 1.0
 
 
 class ForwardOutcome(NamedTuple):
-    """A home's answer and what the session has seen by it."""
+    """A home's answer and the session's positions after it."""
 
     answer: Result[StatementResult, Refusal | MemberError]
     in_transaction: bool
@@ -54,7 +55,7 @@
 
 
 class ForwardedCall(NamedTuple):
-    """A statement to forward, with what its session has seen."""
+    """A statement to forward, with the positions of its session."""
 
     marked: MarkedStatement
     statement_class: StatementKind
@@ -67,7 +68,7 @@
 
 
 class Homes:
-    """Which groups this VM is a home of, and where the others' are.
+    """Home VMs of each group.
 
     Parameters
     ----------
@@ -76,7 +77,7 @@
     directory : Directory
         Groups and their members' data centres.
     limit : int
-        Home VMs of a group.
+        Number of home VMs of a group.
     """
 
     def __init__(
@@ -95,7 +96,7 @@
         return self._own
 
     def set_vms(self, others: tuple[VmAddress, ...]) -> None:
-        """Take the list of the other live VMs."""
+        """Replace the list of the other live VMs."""
         vms = tuple(sorted((self._own, *others)))
         if vms != self._vms:
             self._vms = vms
@@ -119,16 +120,17 @@
         return choose_homes(group, centres, self._vms, self._limit)
 
     def is_home(self, group: str) -> bool:
-        """Say whether this VM serves the group itself."""
+        """Return whether this VM is a home of the group."""
         if len(self._vms) <= self._limit:
             return True
         return any(home.vm == self._own.vm for home in self.of(group))
 
     def runs_long_jobs(self, group: str) -> bool:
-        """Say whether this VM runs the group's long jobs itself.
+        """Return whether this VM runs the group's long jobs itself.
 
-        Counted per VM, six VMs with one long job each would hold all
-        five slots of a member (``redwingpost.scheduling.long_jobs``).
+        The limit for long jobs is counted per VM. If all six homes ran one
+        each, these would take all five slots of a member
+        (``redwingpost.scheduling.long_jobs``).
         """
         return any(
             home.vm == self._own.vm for home in self.of(group)[:LONG_JOB_HOMES]
@@ -142,8 +144,8 @@
         return choose_forward_targets(homes, self._own.data_centre, session)
 
 
-class _Open(NamedTuple):
-    """An open forwarded connection: at whom and for which group."""
+class _OpenSession(NamedTuple):
+    """An open forwarded connection: its home VM, group and capability."""
 
     address: PeerAddress
     group: str
@@ -156,10 +158,10 @@
     Parameters
     ----------
     homes : Homes
-        Where to forward.
+        Home VMs of the groups.
     clients : PeerClients
-        Connections to the homes; used for nothing else, since a call
-        given up closes its connection.
+        Connections to the homes. They carry no other calls, because a
+        call that times out closes its connection.
     clock : Clock
         Source of time.
     """
@@ -170,7 +172,7 @@
         self._homes = homes
         self._clients = clients
         self._clock = clock
-        self._open: _Open | None = None
+        self._open_session: _OpenSession | None = None
         self.in_transaction = False
 
     async def run(
@@ -189,7 +191,7 @@
         """
         may_have_run = False
         for address in self._addresses(opening, call.is_long):
-            sent = await self._open_at(address, opening)
+            sent = await self._connect(address, opening)
             if sent.is_ok():
                 outcome = await self._run_once(call)
                 if outcome.is_ok():
@@ -197,24 +199,28 @@
                 failure = Failure.NO_ANSWER
             else:
                 failure = Failure.NOT_SENT
-            step = self._judge(call, failure, may_have_run)
+            step = self._next_step(call, failure, may_have_run)
             may_have_run = may_have_run or failure is Failure.NO_ANSWER
             self.in_transaction = False
             if step.action is Action.ANSWER:
-                return _ended(Refusal(step.code, "its home VM was lost"))
-        step = self._judge(call, Failure.NOT_SENT, may_have_run, False)
-        return _ended(Refusal(step.code, "no home VM", retry_after_ms=500))
+                return _failed_outcome(
+                    Refusal(step.code, "the home VM was lost")
+                )
+        step = self._next_step(call, Failure.NOT_SENT, may_have_run, False)
+        return _failed_outcome(
+            Refusal(step.code, "no home VM is reachable", retry_after_ms=500)
+        )
 
     def _addresses(
         self, opening: dict[str, Any], is_long: bool
     ) -> list[PeerAddress]:
-        if self.in_transaction and self._open is not None:
-            return [self._open.address]
-        spread = f"{opening['organisation']}/{opening['connection']}"
-        targets = self._homes.targets(opening["group"], spread, is_long)
+        if self.in_transaction and self._open_session is not None:
+            return [self._open_session.address]
+        spread_key = f"{opening['organisation']}/{opening['connection']}"
+        targets = self._homes.targets(opening["group"], spread_key, is_long)
         return [PeerAddress(t.vm.ip, t.vm.proxy_port) for t in targets]
 
-    def _judge(
+    def _next_step(
         self,
         call: ForwardedCall,
         failure: Failure,
@@ -241,21 +247,23 @@
             RequestClass.KEYED_WRITE if keyed else RequestClass.UNKEYED_WRITE
         )
 
-    async def _open_at(
+    async def _connect(
         self, address: PeerAddress, opening: dict[str, Any]
     ) -> Result[None, Refusal]:
         wanted = (address, opening["group"])
-        if self._open is not None and self._open[:2] == wanted:
+        if self._open_session is not None and self._open_session[:2] == wanted:
             return Ok(None)
         await self.close()
         opened = await self._clients.call(
             address,
             lambda node: node.forward().forward.open(**opening),
-            OPEN_LIMIT_S,
+            OPEN_TIMEOUT_S,
         )
         if opened.is_error():
             return Error(opened.error)
-        self._open = _Open(address, opening["group"], opened.ok.session)
+        self._open_session = _OpenSession(
+            address, opening["group"], opened.ok.session
+        )
         return Ok(None)
 
     async def _run_once(
@@ -270,14 +278,14 @@
             "whole": call.whole,
             "sentMs": int(max(0.0, now - call.arrived_at) * 1000),
         }
-        session = self._open.session
+        session = self._open_session.session
         answered = await self._clients.call(
-            self._open.address,
+            self._open_session.address,
             lambda _node: session.run(statement=statement),
             call.deadline_at - now + ANSWER_GRACE_S,
         )
         if answered.is_error():
-            self._open = None
+            self._open_session = None
             return Error(answered.error)
         reader = answered.ok.answer
         self.in_transaction = reader.inTransaction
@@ -291,14 +299,14 @@
         )
 
     async def close(self) -> None:
-        """End the forwarded connection; the home rolls back."""
-        if self._open is None:
+        """End the forwarded connection; the home VM rolls back."""
+        if self._open_session is None:
             return
-        opened, self._open = self._open, None
+        opened, self._open_session = self._open_session, None
         self.in_transaction = False
         end: Callable[[Any], Awaitable] = lambda _node: opened.session.end()
-        await self._clients.call(opened.address, end, OPEN_LIMIT_S)
+        await self._clients.call(opened.address, end, OPEN_TIMEOUT_S)
 
 
-def _ended(refusal: Refusal) -> ForwardOutcome:
+def _failed_outcome(refusal: Refusal) -> ForwardOutcome:
     return ForwardOutcome(Error(refusal), False, {}, False)
--- a/redwingpost/proxy/http.py
+++ b/redwingpost/proxy/http.py
@@ -15,10 +15,10 @@
 from mode import Service
 from prometheus_client import CollectorRegistry, generate_latest
 
-#: What ``/metrics`` answers with, by Prometheus's text format.
+#: Content type of ``/metrics``: Prometheus's text format.
 _METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 
-#: Seconds that open HTTP requests get when the process stops.
+#: Timeout of open HTTP requests when the process stops (seconds).
 _SHUTDOWN_S = 1.0
 
 
@@ -28,13 +28,13 @@
     Parameters
     ----------
     ip, port : str, int
-        Where to listen; port 0 takes a free one.
+        Address to listen on; port 0 chooses a free port.
     registry : CollectorRegistry
-        Metrics to show.
+        Metrics to serve.
     is_ready : callable
-        True while the balancer may send callers here.
+        Returns True while the load balancer may send callers here.
     add_routes : callable, optional
-        Gets the application, to add further routes.
+        Called with the application, to add further routes.
     """
 
     def __init__(
--- a/redwingpost/proxy/lending.py
+++ b/redwingpost/proxy/lending.py
@@ -17,7 +17,7 @@
 from redwingpost.core import Code, Refusal
 from redwingpost.ports import Clock
 from redwingpost.proxy.directory import Directory
-from redwingpost.proxy.feed import FedPeer, FedShare
+from redwingpost.proxy.feed import FeedPeer, FeedShare
 from redwingpost.rates.bucket import STATEMENT_MICROTOKENS, TOTAL_PARTS
 from redwingpost.rates.demand import (
     DemandMeter,
@@ -160,7 +160,7 @@
         self._base = BaseParts(TOTAL_PARTS, self._usable_from, float("inf"))
         self._refresh()
 
-    def update_shares(self, shares: Iterable[FedShare]) -> None:
+    def update_shares(self, shares: Iterable[FeedShare]) -> None:
         """Apply the base parts that the agent sent."""
         for share in shares:
             if share.organisation == ALL_ORGANISATIONS:
@@ -171,7 +171,7 @@
                 )
         self._refresh()
 
-    def update_peers(self, peers: Iterable[FedPeer]) -> None:
+    def update_peers(self, peers: Iterable[FeedPeer]) -> None:
         """Replace the list of other VMs."""
         self._peers_by_vm = {
             peer.address.vm: _Peer(
--- a/redwingpost/proxy/local_answers.py
+++ b/redwingpost/proxy/local_answers.py
@@ -1,8 +1,8 @@
-"""Answer what a driver asks of its connection, without a target.
+"""Answer statements about the connection itself, without a target.
 
-Drivers open with ``SET NAMES``, ``SET autocommit`` and ``SELECT @@…``.
-Sending those to a target would cost slots and say nothing: the
-connection is the proxy's own.
+Drivers begin with ``SET NAMES``, ``SET autocommit`` and ``SELECT @@…``.
+Sending those to a target would take slots and have no use, because the
+caller's connection is to the proxy.
 """
 
 from collections.abc import Callable
@@ -18,14 +18,14 @@
 _LONG_LONG = 8
 _UTF8MB4 = 45
 
-#: What the proxy says it is; drivers parse the leading version number.
+#: Reported server version; drivers parse the leading version number.
 SERVER_VERSION = "8.0.29"
 
 EMPTY_RESULT = StatementResult((), (), 0, 0)
 
 
 class ConnectionState(Protocol):
-    """What local answers read and set."""
+    """Connection state that local answers read and set."""
 
     autocommit: bool
     group: str
@@ -44,7 +44,7 @@
     type_code: int = _VAR_STRING
 
 
-_FIXED_BY_NAME = {
+_FIXED_VALUES_BY_NAME = {
     "version": SERVER_VERSION,
     "version_comment": "redwingpost",
     "max_allowed_packet": 8 * 1024 * 1024,
@@ -74,9 +74,9 @@
     "tx_read_only": 0,
 }
 
-# Possessive throughout ("++"): a pattern that gives blanks back to try
-# them again takes seconds for a statement of many blanks, and the one
-# loop serves nobody meanwhile.
+# The patterns for whole statements are possessive ("++"): one that
+# backtracks over blanks takes seconds for a statement of many blanks and
+# blocks the event loop for all callers.
 _SELECT_ITEM = (
     r"(?:@@(?:session\.|global\.|local\.)?\w++|\w++\s*+\(\s*+\))"
     r"(?:\s++AS\s++[`'\"]?\w++[`'\"]?)?+"
@@ -101,8 +101,8 @@
     r"(?:\s+COLLATE\s+['\"]?\w+['\"]?)?\s*$",
     IGNORECASE,
 )
-#: Variables a driver sets that change nothing the proxy or a target
-#: relies on: results are utf8mb4 whatever they say.
+#: Variables that drivers set and that the proxy ignores: neither it nor a
+#: target depends on them, and results are always utf8mb4.
 _SET_IGNORED = re_compile(
     r"(?:@@)?(?:session\.|session\s+|local\.)?"
     r"(?:character_set_\w+|collation_connection|net_\w+_timeout"
@@ -131,7 +131,7 @@
     Returns
     -------
     Result or None
-        None where the statement is not the proxy's to answer.
+        None if the statement has to run on a target.
     """
     if _SHOW_WARNINGS.match(sql):
         return Ok(_make_row(_WARNING_COLUMNS, rows=False))
@@ -162,9 +162,9 @@
         return VariableValue(state.make_token())
     if name == "autocommit":
         return VariableValue(int(state.autocommit), _LONG_LONG)
-    if name not in _FIXED_BY_NAME:
+    if name not in _FIXED_VALUES_BY_NAME:
         return None
-    value = _FIXED_BY_NAME[name]
+    value = _FIXED_VALUES_BY_NAME[name]
     type_code = _LONG_LONG if isinstance(value, int) else _VAR_STRING
     return VariableValue(value, type_code)
 
@@ -197,7 +197,7 @@
     return StatementResult(columns, (row,) if rows else (), 0, 0)
 
 
-def read_use(sql: str) -> str | None:
+def parse_use(sql: str) -> str | None:
     """Return the database group that a USE statement names."""
     match = _USE.match(sql)
     return match.group(1) if match else None
@@ -206,20 +206,20 @@
 def apply_set(
     sql: str, state: ConnectionState
 ) -> Result[StatementResult, Refusal]:
-    """Carry out a SET statement on the connection's state.
+    """Apply a SET statement to the connection's state.
 
     Returns
     -------
     Result
-        ``Code.UNSUPPORTED`` for variables that would have to hold on a
-        target's connection, which the next statement may not use.
+        ``Code.UNSUPPORTED`` for variables that would have to be set on a
+        connection to a target; the next statement may use another one.
     """
     match = _SET.match(sql)
     body = match.group(1).rstrip().removesuffix(";") if match else sql
     items = body.split(",")
     for item in items:
         if not _apply_item(item.strip(), state):
-            detail = f"SET {item.strip()[:60]} is not carried"
+            detail = f"SET {item.strip()[:60]} is not supported"
             return Error(Refusal(Code.UNSUPPORTED, detail))
     return Ok(EMPTY_RESULT)
 
--- a/redwingpost/proxy/metrics.py
+++ b/redwingpost/proxy/metrics.py
@@ -1,4 +1,4 @@
-"""Prometheus metrics of a proxy; label sets are bounded."""
+"""Prometheus metrics of a proxy; the number of labels is bounded."""
 
 from prometheus_client import (
     CollectorRegistry,
@@ -7,7 +7,8 @@
     Histogram,
 )
 
-#: Seconds; from a warm local read (below 1 ms) to a failover (3 s).
+#: Seconds; from a read over an open connection in the same data centre
+#: (below 1 ms) to a failover (3 s).
 _LATENCY_BUCKETS = (
     0.0005,
     0.001,
@@ -28,8 +29,8 @@
 class ProxyMetrics:
     """The proxy's metrics in a registry of their own.
 
-    A registry per process object, not the library's global one: tests
-    run several proxies in one process.
+    The library's global registry can't be used, because tests run several
+    proxies in one process.
     """
 
     def __init__(self) -> None:
--- a/redwingpost/proxy/service.py
+++ b/redwingpost/proxy/service.py
@@ -1,4 +1,4 @@
-"""The proxy process: its parts, put together."""
+"""The proxy process, assembled from its components."""
 
 from collections.abc import Iterable
 from pathlib import Path
@@ -34,14 +34,14 @@
 from redwingpost.proxy.drain import Drain, DrainStep
 from redwingpost.proxy.control_connections import ControlConnections
 from redwingpost.proxy.directory import Directory
-from redwingpost.proxy.feed import AgentFeed, FedPeer
+from redwingpost.proxy.feed import AgentFeed, FeedPeer
 from redwingpost.proxy.forward_server import ForwardServer
 from redwingpost.proxy.forwarder import Forwarder, Homes
 from redwingpost.proxy.gate import Gate
 from redwingpost.proxy.http import StatusServer
 from redwingpost.proxy.lending import LendingServer, RateLimiter
 from redwingpost.proxy.metrics import ProxyMetrics
-from redwingpost.proxy.parts import Parts
+from redwingpost.proxy.components import Components
 from redwingpost.proxy.reads import Reader
 from redwingpost.proxy.session import StatementSession
 from redwingpost.proxy.status_poller import StatusPoller
@@ -52,18 +52,18 @@
 from redwingpost.sessions import TokenMinter
 from redwingpost.settings import Settings
 
-#: Seconds between checks whether running statements have ended.
+#: Seconds between checks for running statements during a drain.
 _DRAIN_POLL_S = 0.05
 
 
-#: Seconds that a VM waits for each group's primary before it is ready
-#: without. A member answers within one poll; a promotion takes up to 3 s.
-PRIMARIES_LIMIT_S = 3.0
+#: Seconds after which a VM is ready even if it doesn't know each group's
+#: primary. A member answers within one poll; a promotion takes up to 3 s.
+PRIMARIES_TIMEOUT_S = 3.0
 
-#: Seconds of silence after which a VM is no home any more. Heartbeats
-#: come every second or two; a home lost for longer would cost each first
-#: statement of a connection a vain attempt.
-HOME_SILENCE_S = 10.0
+#: Seconds without a heartbeat after which a VM is no longer a home.
+#: Heartbeats are sent every one or two seconds. While a lost VM counts as a
+#: home, the first statement of a connection may cost a failed attempt at it.
+HOME_TIMEOUT_S = 10.0
 
 
 def _own_address(settings: Settings) -> VmAddress:
@@ -78,7 +78,7 @@
 
 
 class _KeyLookup:
-    """The server adapter's view of the key ring."""
+    """Key ring as the server adapter uses it."""
 
     def __init__(self, keys: KeyRing) -> None:
         self._keys = keys
@@ -125,7 +125,7 @@
             self.clock,
             lambda _group: settings.proxy.homes,
         )
-        self.directory.view_listeners.append(self._leave_old_primary)
+        self.directory.view_listeners.append(self._fail_waiting_at_replicas)
         self.confirmer = Confirmer(
             self.directory, self.control_connections, self.clock
         )
@@ -150,8 +150,9 @@
             self.homes.is_home,
             loop=self.loop,
         )
-        # Calls given up close their connection; what else goes between
-        # the VMs must not break with a forwarded statement.
+        # A call that times out closes its connection. Forwarded statements
+        # have connections of their own, so that no other call between the
+        # VMs fails with them.
         self.forward_clients = PeerClients(
             settings.vm.ip, self.tls, self.clock
         )
@@ -159,7 +160,7 @@
         writer = Writer(
             self.directory, self.pool, self.confirmer, self.clock, views
         )
-        self.parts = Parts(
+        self.components = Components(
             clock=self.clock,
             keys=self.keys,
             tokens=TokenMinter(settings.fleet.token_secrets),
@@ -212,13 +213,14 @@
             self.clock,
             loop=self.loop,
         )
-        self.feed.on_withdrawn = self._cut_withdrawn
-        self.feed.on_configured = self._note_configured
-        self.feed.on_peers = self._take_peers
+        self.feed.on_withdrawn = self._terminate_withdrawn
+        self.feed.on_configured = self._on_configured
+        self.feed.on_peers = self._update_peers
         self.feed.on_shares = self.rate_limiter.update_shares
-        self.feed.on_drain = self._leave
+        self.feed.on_drain = self._start_drain
         # Accepted connections also carry forwarded statements, which are
-        # callers' traffic: control counts at the side that dialled it.
+        # callers' traffic, so control traffic is counted by the VM that
+        # opened the connection.
         ControlTraffic(
             settings.vm.ip,
             lambda: 0,
@@ -233,28 +235,28 @@
             loop=self.loop,
         )
 
-    def _leave_old_primary(self, view: GroupView) -> None:
+    def _fail_waiting_at_replicas(self, view: GroupView) -> None:
         if not view.primary:
             return
         for address in self.directory.replicas(view.group):
             self.pool.fail_waiting(address)
 
-    def _note_configured(self) -> None:
+    def _on_configured(self) -> None:
         self._configured_at = min(self._configured_at, self.clock.now())
         self.rate_limiter.configure()
 
     def _make_forwarder(self) -> Forwarder:
         return Forwarder(self.homes, self.forward_clients, self.clock)
 
-    def _take_peers(self, peers: tuple[FedPeer, ...]) -> None:
-        """Learn the other VMs; silent and draining ones are no homes."""
+    def _update_peers(self, peers: tuple[FeedPeer, ...]) -> None:
+        """Apply the list of VMs; lost and draining ones are no homes."""
         self.rate_limiter.update_peers(peers)
-        since = self.clock.now() - HOME_SILENCE_S
+        since = self.clock.now() - HOME_TIMEOUT_S
         self.homes.set_vms(
             tuple(
                 peer.address
                 for peer in peers
-                if peer.heard_at >= since and not peer.draining
+                if peer.last_alive_at >= since and not peer.draining
             )
         )
 
@@ -264,16 +266,16 @@
 
     @property
     def ready(self) -> bool:
-        """Say whether the balancer may send callers here."""
+        """Return whether the load balancer may send callers here."""
         if self._drain is not None or self.directory.configuration is None:
             return False
         if not self.rate_limiter.base_parts_usable:
             return False
-        # A VM that comes back would refuse writes until it has heard of
-        # each group's primary; the balancer must not send callers before.
-        # A group that has none must not keep the VM from the others.
+        # A restarted VM refuses writes to a group until it knows its
+        # primary, so the balancer must not send callers before. The timeout
+        # prevents a group without a primary from blocking the VM.
         waited = self.clock.now() - self._configured_at
-        return waited > PRIMARIES_LIMIT_S or all(
+        return waited > PRIMARIES_TIMEOUT_S or all(
             self.directory.view(group) is not None
             for group in self.directory.configuration.groups_by_name
             if self.homes.is_home(group)
@@ -287,12 +289,12 @@
         connection_id: int,
     ) -> StatementSession:
         caller = Caller(organisation, key_hash, group, connection_id)
-        session = StatementSession(caller, self.parts)
+        session = StatementSession(caller, self.components)
         self.sessions.add(session)
         return session
 
     async def on_start(self) -> None:
-        """Load what is given and start the parts."""
+        """Load a configuration file, if set, and start the components."""
         if self.settings.faults.enabled:
             self._faults = install_link_faults(self.settings.vm.ip)
         await self.add_runtime_dependency(self.peers)
@@ -305,7 +307,7 @@
         await self.add_runtime_dependency(self.callers)
         await self.add_runtime_dependency(self.http)
         logger.bind(vm=self.settings.vm.name).info(
-            "proxy listens on {}:{}",
+            "proxy is listening on {}:{}",
             self.settings.vm.ip,
             self.callers.port,
         )
@@ -318,13 +320,13 @@
         self.rate_limiter.use_full_rates()
         self.keys.grant(parsed.ok)
         self.keys.confirm(self.clock.now())
-        self._note_configured()
+        self._on_configured()
 
-    def _cut_withdrawn(self, withdrawals: Iterable[Withdrawal]) -> None:
-        """Cut the connections of withdrawn keys, wherever they are.
+    def _terminate_withdrawn(self, withdrawals: Iterable[Withdrawal]) -> None:
+        """Terminate the sessions of withdrawn keys, idle ones too.
 
-        An idle one may hold a transaction open, and with it locks of a
-        group that its organisation must no longer touch.
+        An idle session may have an open transaction, which holds locks in a
+        group that the organisation may no longer use.
         """
         withdrawn = frozenset(withdrawals)
         for session in tuple(self.sessions):
@@ -332,17 +334,17 @@
             key = Withdrawal(caller.organisation, caller.key_hash)
             if key in withdrawn:
                 refusal = Refusal(Code.KEY_WITHDRAWN)
-                self.add_future(session.cut(refusal))
+                self.add_future(session.terminate(refusal))
 
-    def _leave(self) -> None:
-        """Turn unready: the balancer sends new callers elsewhere."""
+    def _start_drain(self) -> None:
+        """Become not ready, so that the balancer sends no new callers."""
         if self._drain is None:
             leave_s = self.settings.proxy.leave_s
             self._drain = Drain(self.clock.now(), leave_s)
 
     async def drain(self) -> None:
-        """Finish what runs; new callers are sent elsewhere."""
-        self._leave()
+        """Finish running statements while new callers go elsewhere."""
+        self._start_drain()
         last_busy_at = float("-inf")
         while True:
             now = self.clock.now()
@@ -352,19 +354,19 @@
             if step is DrainStep.FINISH:
                 self.callers.stop_accepting()
             elif step is DrainStep.CUT:
-                logger.warning("stopped with {} statements running", busy)
+                logger.warning("stopped with {} busy connections", busy)
             if step in (DrainStep.CLOSE, DrainStep.CUT):
                 return
             await self.sleep(_DRAIN_POLL_S)
 
     async def on_stop(self) -> None:
-        """Close what is open."""
+        """Close the connections to targets."""
         await self.confirmer.close()
         await self.pool.close()
         await self.control_connections.close()
 
     async def on_shutdown(self) -> None:
-        """Close what the parts needed until their own end."""
+        """Close what the components use until they have stopped."""
         self.clients.close()
         self.forward_clients.close()
         if self._faults is not None:
--- a/redwingpost/proxy/session.py
+++ b/redwingpost/proxy/session.py
@@ -1,4 +1,4 @@
-"""One caller's statements: checked, sorted, sent on, answered."""
+"""Check, classify and run the statements of one caller's connection."""
 
 from itertools import count
 from typing import Any
@@ -18,24 +18,24 @@
 )
 from redwingpost.ports import StatementResult
 from redwingpost.promotion import continue_from
-from redwingpost.proxy.caller import Caller, CallerSessionState, SeenAt
+from redwingpost.proxy.caller import Caller, CallerSessionState, LastRead
 from redwingpost.proxy.classify import classify
 from redwingpost.proxy.forwarder import ForwardedCall
 from redwingpost.proxy.local_answers import (
     EMPTY_RESULT,
     answer_select,
     apply_set,
-    read_use,
+    parse_use,
 )
-from redwingpost.proxy.parts import Parts
+from redwingpost.proxy.components import Components
 from redwingpost.proxy.transactions import Transaction, ends_transaction
 from redwingpost.scheduling.long_jobs import shape_of
 
 Answer = Result[StatementResult, Refusal | MemberError]
 
-#: Seconds a request may take where its caller names no deadline. A
-#: primary change is over within 3 s, so that a waiting write outlives
-#: it; a caller that waits longer than 5 s has mostly gone.
+#: Deadline of a request whose caller sets none (seconds). A change of
+#: primary takes up to 3 s, so a waiting write survives it. After 5 s most
+#: callers have disconnected.
 DEFAULT_DEADLINE_S = 5.0
 
 _request_numbers = count(1)
@@ -47,35 +47,35 @@
     Parameters
     ----------
     caller : Caller
-        Who it is.
-    parts : Parts
-        The proxy's shared parts.
+        Identity and state of the connection.
+    components : Components
+        The proxy's shared components.
     """
 
-    def __init__(self, caller: Caller, parts: Parts) -> None:
+    def __init__(self, caller: Caller, components: Components) -> None:
         self.caller = caller
-        self._parts = parts
+        self._components = components
         self._transaction: Transaction | None = None
         self._request: Request | None = None
-        self._cut: Refusal | None = None
-        self._forwarder = parts.make_forwarder()
+        self._termination: Refusal | None = None
+        self._forwarder = components.make_forwarder()
         self.is_forwarded = False
         self.organisation = caller.organisation
         self.connection_id = caller.connection_id
 
     @property
     def in_transaction(self) -> bool:
-        """Say whether a transaction is open, here or at a home VM."""
+        """Return whether a transaction is open, here or at a home VM."""
         return self._transaction is not None or self._forwarder.in_transaction
 
     @property
     def busy(self) -> bool:
-        """Say whether a planned stop has to wait for this connection."""
+        """Return whether a planned stop has to wait for this connection."""
         return self._request is not None or self.in_transaction
 
     @property
     def autocommit(self) -> bool:
-        """Say whether each statement commits by itself."""
+        """Return whether each statement commits by itself."""
         return self.caller.autocommit
 
     @autocommit.setter
@@ -89,7 +89,7 @@
 
     @property
     def last_insert_id(self) -> int:
-        """Return the id that the last INSERT was given."""
+        """Return the id that the last INSERT generated."""
         return self.caller.last_insert_id
 
     async def handle(
@@ -100,13 +100,13 @@
         Parameters
         ----------
         sql : str
-            The statement as it came.
+            The statement as received.
         attributes : dict
             Query attributes.
         spent_s : float, optional
-            Seconds of its time that a forwarding VM has used up.
+            Seconds of its time that the forwarding VM has used.
         """
-        arrived_at = self._parts.clock.now() - spent_s
+        arrived_at = self._components.clock.now() - spent_s
         kind = classify("")
         marked = read_marks(sql, attributes)
         if marked.is_error():
@@ -115,11 +115,12 @@
             kind = classify(marked.ok.sql)
             answer = await self._handle_marked(marked.ok, arrived_at)
         self._request = None
-        if self._cut is not None:
-            # Cut while this statement ran: its transaction would keep
-            # its locks until the caller hangs up.
+        if self._termination is not None:
+            # The session was terminated while this statement ran. Its
+            # transaction would keep its locks until the caller
+            # disconnects.
             await self._abandon_transaction()
-        self._account(kind.statement_class, answer, arrived_at)
+        self._record_metrics(kind.statement_class, answer, arrived_at)
         return answer
 
     async def _handle_marked(
@@ -138,7 +139,7 @@
             if local is not None:
                 return local
         self.caller.current_session = marked.marks.session
-        token = self._take_token(marked)
+        token = self._apply_token(marked)
         if token is not None:
             return Error(token)
         request = self._make_request(
@@ -149,7 +150,7 @@
             return Error(refusal)
         self._request = request
         is_long = self._is_long(request, marked.sql)
-        if self._is_elsewhere(request, is_long):
+        if self._must_forward(request, is_long):
             return await self._forward(marked, request, is_long)
         return await self._dispatch(request, marked.sql)
 
@@ -158,14 +159,14 @@
             return False
         is_read = request.statement_class is StatementKind.READ
         shape = shape_of(sql) if is_read else ""
-        return self._parts.pool.is_long(request, shape)
+        return self._components.pool.is_long(request, shape)
 
-    def _is_elsewhere(self, request: Request, is_long: bool) -> bool:
+    def _must_forward(self, request: Request, is_long: bool) -> bool:
         if self.is_forwarded or self._transaction is not None:
             return False
         if self._forwarder.in_transaction:
             return True
-        homes = self._parts.homes
+        homes = self._components.homes
         if is_long:
             return not homes.runs_long_jobs(request.group)
         return not homes.is_home(request.group)
@@ -200,49 +201,51 @@
     async def _check_key(self) -> Refusal | None:
         """Check the key at each request, not only at the handshake.
 
-        A caller that stays connected would otherwise keep a withdrawn
-        key for as long as its connection lasts.
+        Otherwise a withdrawn key would stay valid on open connections
+        until they are closed.
         """
-        refusal = self._cut or self._parts.keys.check(
+        refusal = self._termination or self._components.keys.check(
             self.caller.organisation,
             self.caller.key_hash,
-            self._parts.clock.now(),
+            self._components.clock.now(),
         )
         if refusal is not None:
             await self._abandon_transaction()
         return refusal
 
     def _answer_locally(self, marked: MarkedStatement) -> Answer | None:
-        # Without a mark, a question about the session means the one
-        # that the last statement ran for: its token, above all.
+        # Without a mark, a query about the session, mainly for its token,
+        # means the session of the last statement.
         if marked.marks.session:
             self.caller.current_session = marked.marks.session
         return answer_select(marked.sql, self)
 
-    def _take_token(self, marked: MarkedStatement) -> Refusal | None:
+    def _apply_token(self, marked: MarkedStatement) -> Refusal | None:
         if not marked.marks.token:
             return None
-        read = self._parts.tokens.read(
+        read = self._components.tokens.read(
             marked.marks.token, self.caller.organisation
         )
         if read.is_error():
             return read.error
         token = read.ok
         if marked.marks.session and token.session != marked.marks.session:
-            return Refusal(Code.TOKEN_INVALID, "of another session")
+            return Refusal(Code.TOKEN_INVALID, "token of another session")
         self.caller.current_session = token.session
         state = self.caller.state(token.session)
         state.positions.merge(token.positions_by_group, token.whole)
         return None
 
     def _check_group(self, request: Request) -> Refusal | None:
-        configuration = self._parts.directory.configuration
+        configuration = self._components.directory.configuration
         if not request.group:
             return Refusal(Code.UNKNOWN_GROUP, "no database selected")
         if request.group not in configuration.groups_by_name:
             return Refusal(Code.UNKNOWN_GROUP, f"no group {request.group!r}")
-        known = configuration.organisations_by_name[request.organisation]
-        if request.group not in known.groups:
+        organisation = configuration.organisations_by_name[
+            request.organisation
+        ]
+        if request.group not in organisation.groups:
             return Refusal(Code.GROUP_NOT_ALLOWED)
         return None
 
@@ -254,7 +257,7 @@
     ) -> Request:
         marks = marked.marks
         limit_s = marks.deadline_ms / 1000 or DEFAULT_DEADLINE_S
-        kind = self._parts.directory.configuration.kind(marks.kind)
+        kind = self._components.directory.configuration.kind(marks.kind)
         return Request(
             request=next(_request_numbers),
             organisation=self.caller.organisation,
@@ -264,35 +267,35 @@
             marks=marks,
             arrived_at=arrived_at,
             deadline_at=arrived_at + limit_s,
-            after=self._after(marked),
+            after=self._required_position(marked),
             cost=kind.cost,
             in_transaction=self.in_transaction,
         )
 
-    def _after(self, marked: MarkedStatement) -> Any:
-        # A named session may write through other proxies at any time;
-        # without its token nothing is known of it.
+    def _required_position(self, marked: MarkedStatement) -> Any:
+        # A named session may write through other proxies at any time.
+        # Without its token this proxy has no position that covers them.
         if marked.marks.session and not marked.marks.token:
             return None
         state = self.caller.state(self.caller.current_session)
-        self._settle(state)
+        self._advance_past_reads(state)
         return state.positions.after(self.caller.group)
 
     async def _dispatch(self, request: Request, sql: str) -> Answer:
-        ends = {
+        handlers = {
             StatementKind.BEGIN: self._begin,
             StatementKind.COMMIT: self._commit,
             StatementKind.ROLLBACK: self._rollback,
         }
-        if request.statement_class in ends:
-            return await ends[request.statement_class](request, sql)
-        entered = await self._parts.gate.enter(request)
+        if request.statement_class in handlers:
+            return await handlers[request.statement_class](request, sql)
+        entered = await self._components.gate.enter(request)
         if entered.is_error():
             return entered
         try:
             return await self._run(request, sql)
         finally:
-            self._parts.gate.leave(entered.ok)
+            self._components.gate.leave(entered.ok)
 
     async def _run(self, request: Request, sql: str) -> Answer:
         if self._transaction is not None:
@@ -307,36 +310,45 @@
         return await self._write(request, sql)
 
     async def _read(self, request: Request, sql: str) -> Answer:
-        seen = self._state(request).seen_by_group.get(request.group)
-        sticky_member = seen.member if seen else ""
-        answer = await self._parts.reader.read(request, sql, sticky_member)
+        last_read = self._state(request).last_read_by_group.get(request.group)
+        sticky_member = last_read.member if last_read else ""
+        answer = await self._components.reader.read(
+            request, sql, sticky_member
+        )
         if answer.is_error():
-            self._note_lost(request, answer.error)
+            self._skip_lost_position(request, answer.error)
             return answer
         read = answer.ok
         state = self._state(request)
         state.advance(request.group, read.follows)
-        state.seen_by_group[request.group] = SeenAt(read.member, read.until)
+        state.last_read_by_group[request.group] = LastRead(
+            read.member, read.until
+        )
         return Ok(read.result)
 
-    def _note_lost(
+    def _skip_lost_position(
         self, request: Request, error: Refusal | MemberError
     ) -> None:
-        """Let a session go on that was told of a dropped position."""
+        """Let a session continue after its position was dropped.
+
+        A promotion dropped the position, and the caller has got the error.
+        The session continues at the first position of the term that
+        replaced it.
+        """
         lost = isinstance(error, Refusal) and error.code is Code.POSITION_LOST
-        view = self._parts.directory.view(request.group)
+        view = self._components.directory.view(request.group)
         if lost and view is not None:
             onward = continue_from(request.after, view.history)
             self._state(request).advance(request.group, onward.position)
 
     async def _write(self, request: Request, sql: str) -> Answer:
-        answer = await self._parts.writer.write(request, sql)
+        answer = await self._components.writer.write(request, sql)
         if answer.is_error():
             return answer
-        self._note_write(request, answer.ok.result, answer.ok.position)
+        self._record_write(request, answer.ok.result, answer.ok.position)
         return Ok(answer.ok.result)
 
-    def _note_write(
+    def _record_write(
         self, request: Request, result: StatementResult, position: Any
     ) -> None:
         self._state(request).advance(request.group, position)
@@ -348,18 +360,18 @@
 
     async def _begin(self, request: Request, sql: str) -> Answer:
         if self._transaction is not None:
-            # MySQL commits the open transaction at a second BEGIN.
+            # In MySQL a second BEGIN commits the open transaction.
             committed = await self._commit(request, "COMMIT")
             if committed.is_error():
                 return committed
-        begun = await self._parts.transactions.begin(request, sql)
+        begun = await self._components.transactions.begin(request, sql)
         if begun.is_error():
             return begun
         self._transaction = begun.ok
         return Ok(EMPTY_RESULT)
 
     async def _run_in_transaction(self, request: Request, sql: str) -> Answer:
-        answer = await self._parts.transactions.execute(
+        answer = await self._components.transactions.execute(
             self._transaction, request, sql
         )
         if answer.is_error() and ends_transaction(answer.error):
@@ -372,10 +384,12 @@
         if self._transaction is None:
             return Ok(EMPTY_RESULT)
         transaction, self._transaction = self._transaction, None
-        answer = await self._parts.transactions.commit(transaction, request)
+        answer = await self._components.transactions.commit(
+            transaction, request
+        )
         if answer.is_error():
             return answer
-        self._note_write(request, answer.ok.result, answer.ok.position)
+        self._record_write(request, answer.ok.result, answer.ok.position)
         return Ok(answer.ok.result)
 
     async def _rollback(self, _request: Request, sql: str) -> Answer:
@@ -387,12 +401,12 @@
     async def _abandon_transaction(self) -> None:
         if self._transaction is not None:
             transaction, self._transaction = self._transaction, None
-            await self._parts.transactions.rollback(transaction)
+            await self._components.transactions.rollback(transaction)
         if self._forwarder.in_transaction:
             await self._forwarder.close()
 
     async def _run_session(self, sql: str) -> Answer:
-        group = read_use(sql)
+        group = parse_use(sql)
         if group is not None:
             used = await self.use(group)
             return used if used.is_error() else Ok(EMPTY_RESULT)
@@ -400,23 +414,23 @@
         answer = apply_set(sql, self)
         turned_on = self.caller.autocommit and not was_autocommit
         if turned_on and self.in_transaction:
-            # MySQL commits what is open when autocommit is turned on.
+            # In MySQL turning on autocommit commits the open transaction.
             return await self._commit_open()
         return answer
 
     async def _commit_open(self) -> Answer:
         marked = MarkedStatement("COMMIT", NO_MARKS)
         request = self._make_request(
-            marked, StatementKind.COMMIT, self._parts.clock.now()
+            marked, StatementKind.COMMIT, self._components.clock.now()
         )
-        if self._is_elsewhere(request, is_long=False):
+        if self._must_forward(request, is_long=False):
             return await self._forward(marked, request, is_long=False)
         return await self._commit(request, "COMMIT")
 
     async def use(self, group: str) -> Result[None, Refusal]:
         """Change the connection's database group."""
         if self.in_transaction:
-            detail = "USE inside a transaction is not carried"
+            detail = "USE inside a transaction is not supported"
             return Error(Refusal(Code.UNSUPPORTED, detail))
         self.caller.group = group
         return Ok(None)
@@ -424,48 +438,50 @@
     def make_token(self) -> str:
         """Return the current session's token."""
         state = self.caller.state(self.caller.current_session)
-        self._settle(state)
-        return self._parts.tokens.mint(
+        self._advance_past_reads(state)
+        return self._components.tokens.mint(
             self.caller.organisation,
             self.caller.current_session,
             state.positions.by_group,
             state.positions.whole,
         )
 
-    def _settle(self, state: CallerSessionState) -> None:
-        """Cover what the session's last reads saw by known positions."""
-        for group, seen in tuple(state.seen_by_group.items()):
-            status_poller = self._parts.status_poller
-            position = status_poller.applied_since(seen.member, seen.until)
+    def _advance_past_reads(self, state: CallerSessionState) -> None:
+        """Advance the positions over what the session's last reads saw."""
+        for group, last_read in tuple(state.last_read_by_group.items()):
+            status_poller = self._components.status_poller
+            position = status_poller.applied_since(
+                last_read.member, last_read.until
+            )
             if position is not None:
                 state.advance(group, position)
-                del state.seen_by_group[group]
+                del state.last_read_by_group[group]
 
-    async def cut(self, refusal: Refusal) -> None:
-        """Refuse all further statements and roll back what is open."""
-        self._cut = refusal
+    async def terminate(self, refusal: Refusal) -> None:
+        """Refuse all further statements; roll back an open transaction."""
+        self._termination = refusal
         if self._request is None:
             await self._abandon_transaction()
 
     async def reset(self) -> None:
-        """Forget the connection's state."""
+        """Roll back an open transaction and reset the connection's state."""
         await self._abandon_transaction()
-        self.caller.forget()
+        self.caller.clear_state()
 
     async def close(self) -> None:
-        """Roll back what is open: the client is gone."""
+        """Roll back an open transaction: the client has disconnected."""
         await self._abandon_transaction()
         await self._forwarder.close()
-        self._parts.sessions.discard(self)
+        self._components.sessions.discard(self)
 
-    def _account(
+    def _record_metrics(
         self,
         statement_class: StatementKind,
         answer: Answer,
         arrived_at: float,
     ) -> None:
         name = statement_class.value
-        metrics = self._parts.metrics
+        metrics = self._components.metrics
         code = "0"
         if answer.is_error():
             code = _code_label(answer.error)
@@ -473,14 +489,14 @@
                 organisation=self.caller.organisation,
                 connection=self.caller.connection_id,
                 session=self.caller.current_session,
-            ).debug("statement ended with code {}", code)
+            ).debug("statement failed with code {}", code)
         metrics.requests.labels(name, code).inc()
-        elapsed = self._parts.clock.now() - arrived_at
+        elapsed = self._components.clock.now() - arrived_at
         metrics.duration.labels(name).observe(elapsed)
 
 
 def _code_label(error: Refusal | MemberError) -> str:
     if isinstance(error, Refusal):
         return str(error.code.number)
-    # A member's own numbers are many; one label keeps the set bounded.
+    # Members have many error numbers; one label keeps the set bounded.
     return "member"
--- a/redwingpost/proxy/tests/small_site.py
+++ b/redwingpost/proxy/tests/small_site.py
@@ -1,7 +1,7 @@
-"""A site in one process for end-to-end tests: real sockets, free ports.
+"""Proxies and stand-in members in one process, for end-to-end tests.
 
-A thread runs the loop with the stand-ins and the proxies; tests use real
-drivers from outside.
+A thread runs the event loop with the stand-ins and the proxies, which
+listen on free ports. The tests connect with real drivers.
 """
 
 from asyncio import Event, new_event_loop, run_coroutine_threadsafe, sleep
@@ -26,8 +26,8 @@
 )
 from redwingpost.standin import Endpoint, GroupSettings, GroupStandin
 
-#: Keys no other text of a run holds, so that a search for them can't
-#: find anything else.
+#: Keys that occur in no other text of a run, so that a search for them
+#: finds only leaked keys.
 KEYS_BY_ORGANISATION = {
     "diocese-puno": "marked-key-of-puno-7f3a91",
     "diocese-cusco": "marked-key-of-cusco-02bd6e",
@@ -69,7 +69,7 @@
         self._thread = Thread(target=self._run_loop, daemon=True)
 
     def start(self) -> "SmallSite":
-        """Start everything and wait until callers can be served."""
+        """Start all services and wait until callers can be served."""
         self._thread.start()
         if not self._started.wait(_START_LIMIT_S):
             raise TimeoutError("the site did not start")
@@ -78,18 +78,18 @@
         return self
 
     def stop(self) -> None:
-        """Stop everything."""
+        """Stop all services."""
         self.loop.call_soon_threadsafe(self._stop.set)
         self._thread.join(_START_LIMIT_S)
         self._directory.cleanup()
 
     def call(self, coroutine: Any) -> Any:
-        """Run a coroutine on the site's loop and return its result."""
+        """Run a coroutine on the site's event loop; return its result."""
         future: Future = run_coroutine_threadsafe(coroutine, self.loop)
         return future.result(_START_LIMIT_S)
 
     def wait_until(self, condition: Callable[[], bool]) -> None:
-        """Wait on the site's loop until a condition holds."""
+        """Wait on the site's event loop until a condition holds."""
 
         async def wait() -> None:
             while not condition():
@@ -145,7 +145,7 @@
             services.append(proxy)
             self.proxies.append(proxy)
             await proxy.start()
-        self._introduce()
+        self._exchange_addresses()
         for proxy in self.proxies:
             while (
                 proxy.homes.is_home(GROUP)
@@ -153,7 +153,7 @@
             ):
                 await proxy.sleep(0.01)
 
-    def _introduce(self) -> None:
+    def _exchange_addresses(self) -> None:
         addresses = [
             proxy.homes.own._replace(proxy_port=proxy.peers.port)
             for proxy in self.proxies
@@ -165,7 +165,7 @@
             )
 
     def home_and_other(self, group: str = GROUP) -> tuple[int, int]:
-        """Return a proxy that is a home of the group and one that isn't."""
+        """Return the index of a home of the group and that of another VM."""
         homes = [proxy.homes.is_home(group) for proxy in self.proxies]
         return homes.index(True), homes.index(False)
 
--- a/redwingpost/proxy/tests/test_caller_tls.py
+++ b/redwingpost/proxy/tests/test_caller_tls.py
@@ -1,4 +1,4 @@
-"""Callers over TLS, with a real driver."""
+"""Tests of callers over TLS, with a real driver."""
 
 from pathlib import Path
 from socket import create_connection
@@ -58,8 +58,9 @@
                     self.assertEqual(cursor.fetchone(), ("whole",))
 
     def test_a_wrong_authority_is_noticed_by_the_caller(self):
-        # Somebody between a parish and the proxy shows a certificate of
-        # his own. The driver must break off before it proves its key.
+        # An attacker between the caller and the proxy presents a
+        # certificate of another authority. The driver must close the
+        # connection before it authenticates with its key.
         with self.assertRaises(MySQLError):
             self._connect(ssl_ca=self.stranger, ssl_verify_cert=True)
 
@@ -73,9 +74,9 @@
             self.assertEqual(cursor.fetchone(), (body,))
 
     def test_tls_that_comes_with_its_request(self):
-        # A driver asks for TLS and sends its first bytes in the same
-        # breath; on a busy VM both arrive before the proxy looks. The
-        # handshake must go on with the bytes that have come.
+        # A driver requests TLS and sends its first handshake bytes at
+        # once; on a busy VM both arrive before the proxy reads. The
+        # handshake must continue with the bytes already received.
         address = (self.site.proxies[0].settings.vm.ip, self.site.port())
         context = create_default_context(cafile=self.public)
         context.check_hostname = False
--- a/redwingpost/proxy/tests/test_classify.py
+++ b/redwingpost/proxy/tests/test_classify.py
@@ -1,4 +1,4 @@
-"""Tests of sorting statements."""
+"""Tests of the classification of statements."""
 
 from unittest import TestCase
 
--- a/redwingpost/proxy/tests/test_drain.py
+++ b/redwingpost/proxy/tests/test_drain.py
@@ -1,4 +1,4 @@
-"""Tests of the order of a planned stop."""
+"""Tests of the steps of a planned stop."""
 
 from unittest import TestCase
 
@@ -8,8 +8,8 @@
 class DrainTest(TestCase):
     def test_order(self):
         # A VM is replaced under load. Closing its port at once would
-        # refuse callers whom the balancer still sends; closing idle
-        # connections at once would cut a request on its way.
+        # refuse callers that the balancer still sends; closing idle
+        # connections at once would abort a request that is arriving.
         drain = Drain(began_at=10.0, leave_s=1.0)
         table = [
             (10.0, 0, 0.0, DrainStep.SERVE),
--- a/redwingpost/proxy/tests/test_end_to_end.py
+++ b/redwingpost/proxy/tests/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""Real drivers through real proxies to the members' stand-ins."""
+"""End-to-end tests: real drivers, proxies and stand-in members."""
 
 from asyncio import gather
 from datetime import datetime
@@ -118,10 +118,10 @@
         self.assertEqual(self.site.call(run()), _ROW)
 
     def test_prepared_values_cannot_leave_their_literal(self):
-        # A catechist called O'Higgins signs up through a driver that
-        # prepares its statements. With values pasted into the text the
-        # quote ends the literal: the enrolment fails, or what follows
-        # runs as SQL of its own.
+        # A driver that prepares its statements sends a value with a quote,
+        # such as the name O'Higgins. If the value were put into the text
+        # unescaped, the quote would end the literal: the statement would
+        # fail, or the rest of the value would run as SQL.
         table = [
             "O'Higgins",
             "x'; DROP TABLE notes; --",
@@ -201,9 +201,9 @@
                     self._connector(**changes)
 
     def test_own_writes_are_read_through_another_proxy(self):
-        # A secretary enrols a member through one proxy; the balancer
-        # sends the next request to another one, whose replica lags. She
-        # must see the enrolment, not the list without it.
+        # A caller writes through one proxy, and the balancer sends its
+        # next request to another one, whose replica lags. The read must
+        # include the write.
         first = self._pymysql(0)
         second = self._pymysql(1)
         with first, second:
@@ -222,8 +222,8 @@
                     self.assertEqual(two.fetchall(), ((number,),))
 
     def test_a_foreign_token_is_refused(self):
-        # A token copied from one organisation's log must not open
-        # anything for another.
+        # A token copied from one organisation's log must not be accepted
+        # from another organisation.
         with self._pymysql() as puno, puno.cursor() as cursor:
             cursor.execute("SELECT @@redwing_token")
             token = cursor.fetchone()[0]
@@ -256,9 +256,9 @@
             self.assertEqual(two.fetchall(), (("committed",),))
 
     def test_a_client_that_leaves_rolls_back(self):
-        # A coordinator's laptop drops its connection in the middle of a
-        # transaction. Its half-done order must not show up later, nor
-        # keep others from writing.
+        # A client loses its connection in the middle of a transaction. The
+        # uncommitted row must not become visible, nor its locks block other
+        # writers.
         connection = self._pymysql(autocommit=False)
         cursor = connection.cursor()
         cursor.execute("INSERT INTO notes (note) VALUES ('half done')")
@@ -269,8 +269,8 @@
             self.assertEqual(two.fetchall(), ())
 
     def test_no_key_leaves_the_proxy(self):
-        # A key that shows up in a statement, a log line, a metric or an
-        # error is known to whoever reads those.
+        # A key in a statement, a log line, a metric or an error would be
+        # disclosed to everyone who can read those.
         output = StringIO()
         handler = logger.add(output, level=0, serialize=True)
         try:
@@ -300,7 +300,7 @@
                 self.assertFalse(any(secret in place for place in places))
 
     def test_many_connections_get_their_own_answers(self):
-        # Answers of concurrent callers must never be swapped.
+        # Concurrent callers must never get each other's answers.
         async def run_one(number):
             connection = await asyncmy_connect(
                 host=self.site.proxies[number % 2].settings.vm.ip,
--- a/redwingpost/proxy/tests/test_feed.py
+++ b/redwingpost/proxy/tests/test_feed.py
@@ -1,4 +1,4 @@
-"""Tests of what a proxy takes from its agent."""
+"""Tests of the feed that a proxy polls from its agent."""
 
 from json import dumps
 from unittest import TestCase
@@ -21,7 +21,7 @@
 
 
 class ProxySide:
-    """A feed with what it fills."""
+    """An agent feed with the objects that it updates."""
 
     def __init__(self, fleet: TestFleet) -> None:
         agent = fleet.agents["vm-1"]
@@ -50,7 +50,7 @@
 
 class AgentFeedTest(TestCase):
     @in_kj_loop
-    async def test_what_the_proxy_takes(self):
+    async def test_a_poll_applies_all_news(self):
         fleet = TestFleet({"vm-1": "dc-1"}, net=45)
         await fleet.submit(dumps(GOOD).encode(), 0)
         await fleet.start()
@@ -77,10 +77,10 @@
         await fleet.stop()
 
     @in_kj_loop
-    async def test_the_agent_is_replaced_by_one_that_knows_nothing(self):
-        # The agent restarts while the store is away and every peer is
-        # gone: it has no configuration. The proxy must go on with what
-        # it has instead of turning its callers away.
+    async def test_an_agent_without_data_replaces_nothing(self):
+        # The agent restarts while the store is unavailable and all peers
+        # are down, so it has no configuration. The proxy must keep its own
+        # instead of refusing its callers.
         fleet = TestFleet({"vm-1": "dc-1"}, net=46)
         await fleet.submit(dumps(GOOD).encode(), 0)
         await fleet.start()
--- a/redwingpost/proxy/tests/test_forwarding.py
+++ b/redwingpost/proxy/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Statements forwarded to a group's home VM, with a real driver."""
+"""Tests of statements forwarded to a home VM, with a real driver."""
 
 from datetime import datetime
 from decimal import Decimal
@@ -55,13 +55,13 @@
             return [row[0] for row in cursor.fetchall()]
 
     def test_only_the_home_connects_to_members(self):
-        # At 1,000 VMs a member's 32 connections would be gone after the
-        # first 32 VMs, and the callers of all others refused.
+        # With 1,000 VMs, the first 32 would take all of a member's 32
+        # connections, and the callers of all other VMs would be refused.
         self._notes(self.other, "nobody's")
         members = self.site.group.members_by_name.keys()
-        boards = [proxy.status_poller for proxy in self.site.proxies]
-        self.site.wait_until(lambda: not boards[self.other].polled & members)
-        self.assertEqual(boards[self.home].polled & members, members)
+        pollers = [proxy.status_poller for proxy in self.site.proxies]
+        self.site.wait_until(lambda: not pollers[self.other].polled & members)
+        self.assertEqual(pollers[self.home].polled & members, members)
 
     def test_types_pass_whole(self):
         with self._connect(self.other) as connection:
@@ -128,9 +128,9 @@
                     self.assertEqual(caught.exception.args[0], number)
 
     def test_a_client_that_leaves_rolls_back_at_the_home(self):
-        # A coordinator's laptop drops its connection to a VM that only
-        # forwards. The half-done order at the home must not stay open:
-        # its locks would keep every other writer of the group waiting.
+        # A client loses its connection to a VM that only forwards. Its
+        # transaction at the home must not stay open, because its locks
+        # would block every other writer of the group.
         connection = self._connect(self.other, autocommit=False)
         cursor = connection.cursor()
         cursor.execute("INSERT INTO notes VALUES ('half done')")
@@ -141,10 +141,10 @@
 
 
 class LostHomeTest(TestCase):
-    def test_a_lost_home_ends_its_transactions_truly(self):
-        # The home VM of a group dies in the middle of a transaction that
-        # another VM forwards to it. The caller must hear that it was
-        # rolled back, and none of it may show up.
+    def test_a_lost_home_rolls_back_its_transactions(self):
+        # The home VM of a group fails in the middle of a transaction that
+        # another VM forwards to it. The caller must get the error that it
+        # was rolled back, and none of it may become visible.
         site = SmallSite(proxies=2, homes=1).start()
         self.addCleanup(site.stop)
         home, other = site.home_and_other()
--- a/redwingpost/proxy/tests/test_hostile_statements.py
+++ b/redwingpost/proxy/tests/test_hostile_statements.py
@@ -17,7 +17,7 @@
 from redwingpost.proxy.local_answers import (
     answer_select,
     apply_set,
-    read_use,
+    parse_use,
 )
 
 SIZE = 250_000
@@ -69,7 +69,7 @@
                 read_marks(sql, {})
                 answer_select(sql, State())
                 apply_set(sql, State())
-                read_use(sql)
+                parse_use(sql)
 
     def test_unclosed_text_hides_no_statement(self):
         table = [
--- a/redwingpost/proxy/tests/test_local_answers.py
+++ b/redwingpost/proxy/tests/test_local_answers.py
@@ -1,4 +1,4 @@
-"""Tests of what the proxy answers itself."""
+"""Tests of statements that the proxy answers without a target."""
 
 from types import SimpleNamespace
 from unittest import TestCase
@@ -7,7 +7,7 @@
 from redwingpost.proxy.local_answers import (
     answer_select,
     apply_set,
-    read_use,
+    parse_use,
 )
 
 
@@ -92,4 +92,4 @@
         ]
         for sql, expected in table:
             with self.subTest(sql=sql):
-                self.assertEqual(read_use(sql), expected)
+                self.assertEqual(parse_use(sql), expected)
--- a/redwingpost/proxy/tests/test_writes.py
+++ b/redwingpost/proxy/tests/test_writes.py
@@ -216,7 +216,7 @@
         """
         self.promote("b", "c")
         self.order(self.connection_1, "puno", "k1")
-        token = self.site.proxies[0].parts.tokens.mint(
+        token = self.site.proxies[0].components.tokens.mint(
             "diocese-puno", "s1", {GROUP: Position(1, 10_000)}, False
         )
         sql = f"/* redwing: token={token} */ SELECT COUNT(*) FROM orders"
