--- a/redwingpost/node/service.py
+++ b/redwingpost/node/service.py
@@ -38,7 +38,7 @@
 from redwingpost.node.request.writes import WriteRunner
 from redwingpost.node.settings import NodeSettings
 from redwingpost.node.steps import repeat
-from redwingpost.node.takeover.conductor import Outside as TakeoverOutside
+from redwingpost.node.takeover.coordinator import TakeoverDependencies
 from redwingpost.node.takeover.duty import DutyKeeper
 from redwingpost.node.takeover.keeper import TakeoverKeeper
 from redwingpost.node.takeover.leader_view import LeaderViews
@@ -248,7 +248,7 @@
         )
 
     def _try_takeovers(self) -> None:
-        self._takeovers.try_soon()
+        self._takeovers.retry_now()
 
     def _make_fleet_parts(self) -> None:
         settings = self.settings
@@ -296,7 +296,7 @@
             self._vms,
             LeaderViews(self._vms, self._centres, self._is_registry_lost),
             self.metrics,
-            TakeoverOutside(
+            TakeoverDependencies(
                 self.directory,
                 outside.links,
                 outside.orders,
@@ -402,7 +402,7 @@
     async def _look_around(self) -> None:
         self._tidy()
         self._judge_readiness()
-        self._takeovers.look_at_all()
+        self._takeovers.check_all()
         self._copy_fetcher.fetch_if_behind()
 
     def _tidy(self) -> None:
@@ -439,7 +439,7 @@
 
     def _on_members(self) -> None:
         self._follow()
-        self._rosters.look_soon()
+        self._rosters.check_now()
 
     def _follow(self) -> None:
         """Bring the groups in step with directory and rules."""
--- a/redwingpost/node/takeover/__init__.py
+++ b/redwingpost/node/takeover/__init__.py
@@ -1,1 +1,1 @@
-"""Primaries replaced: who notices, who conducts, whose logs matter."""
+"""Replacement of primaries: detection, the takeover itself, rosters."""
--- a/redwingpost/node/takeover/conductor.py
+++ b/redwingpost/node/takeover/coordinator.py
@@ -1,6 +1,7 @@
-"""One takeover of one group, from the first question to the last order.
+"""One takeover of one group: the requests to its members, in order.
 
-What is decided by the answers is in ``redwingpost.takeover.plan``.
+The decisions that depend on their answers are in
+``redwingpost.takeover.plan``.
 """
 
 from asyncio import create_task, gather, sleep
@@ -35,25 +36,29 @@
 )
 from redwingpost.takeover.triggers import Reason
 
-#: Seconds between questions while a change is under way.
+#: Seconds between status requests while waiting for a member's state to
+#: change.
 POLL_S = 0.03
 
 #: Seconds for the chosen replica to receive what a paused one had, and
-#: for a promotion to show at the member after the order.
-CATCH_UP_S = 1.0
-EFFECT_S = 3.0
+#: for a promotion to show in the member's status after the order.
+CATCH_UP_TIMEOUT_S = 1.0
+PROMOTION_TIMEOUT_S = 3.0
 
-#: Seconds for a chosen replica to receive what was on its way when the old
-#: primary was stopped. The group has no primary meanwhile.
-LAST_COMMITS_S = 0.3
+#: Seconds for a chosen replica to receive the commits that were in transit
+#: when the old primary was stopped. The group has no primary meanwhile.
+LAST_COMMITS_TIMEOUT_S = 0.3
 
-#: Seconds that an order may come after the answers that allow it. A
-#: replica that starts again after its answer has forgotten its pause.
-ORDER_WITHIN_S = 0.1
+#: Seconds that may pass between the members' answers to the pause and the
+#: order. A replica that restarts after its answer has lost its pause.
+MAX_PAUSE_AGE_S = 0.1
 
 
-class Outside(NamedTuple):
-    """What a takeover needs besides the group."""
+class TakeoverDependencies(NamedTuple):
+    """What a takeover uses besides the group.
+
+    ``vm`` is this VM's name.
+    """
 
     directory: Directory
     links: LinkFactory
@@ -62,17 +67,22 @@
     vm: str
 
 
-class Conductor:
-    """Conducts one takeover of one group.
+class Coordinator:
+    """Runs one takeover of one group.
 
     Parameters
     ----------
     group : GroupClient
-        Whose primary is to be replaced.
+        Group whose primary is to be replaced.
     roster : Roster
-        All members whose logs may matter, as the fleet's store has them.
+        All members whose logs may hold acknowledged commits, as recorded
+        in the fleet's store.
     sync_replicas : int
-        How many replicas receive a commit before it is acknowledged.
+        Number of replicas that receive a commit before it is acknowledged.
+    duty : HeldDuty
+        This VM's right to order the promotion.
+    dependencies : TakeoverDependencies
+        What the takeover uses besides the group.
     """
 
     def __init__(
@@ -81,35 +91,35 @@
         roster: Roster,
         sync_replicas: int,
         duty: HeldDuty,
-        outside: Outside,
+        dependencies: TakeoverDependencies,
     ) -> None:
         self._group = group
         self._sync_replicas = sync_replicas
         self._duty = duty
-        self._directory = outside.directory
-        self._orders = outside.orders
-        self._clock = outside.clock
-        self._vm = outside.vm
-        self._links = outside.links
-        self._known = roster.with_listed(
+        self._directory = dependencies.directory
+        self._orders = dependencies.orders
+        self._clock = dependencies.clock
+        self._vm = dependencies.vm
+        self._links = dependencies.links
+        self._roster = roster.with_listed(
             self._directory.members_of(group.name)
         )
-        self.clients = self._find_clients()
-        self._silent: frozenset[str] = frozenset()
-        self._is_stopped = False
-        self._asked_at = float("-inf")
+        self.clients = self._make_clients()
+        self._silent_members: frozenset[str] = frozenset()
+        self._has_stopped_primary = False
+        self._paused_at = float("-inf")
 
     def close(self) -> None:
-        """Close the connections that only this takeover used."""
+        """Close the connections that were opened for this takeover."""
         for name, client in self.clients.items():
             if client is not self._group.member_by_name.get(name):
                 client.close()
 
     async def run(self, reason: Reason) -> str:
-        """Replace the primary; return the outcome for the log."""
+        """Replace the primary; return the outcome for log and metrics."""
         statuses = await self._ask_all(self.clients, "status")
         leader = current_primary(statuses, self._group.evidence.term)
-        if await self._depose_stale(statuses, leader):
+        if await self._demote_stale(statuses, leader):
             statuses = await self._ask_all(self.clients, "status")
         if reason is Reason.LEFT_PAUSED and leader is not None:
             await self._resume(statuses)
@@ -133,11 +143,11 @@
 
     # Members -----------------------------------------------------------
 
-    def _find_clients(self) -> dict[str, MemberClient]:
-        """Return all members whose logs may matter, and any just gone."""
+    def _make_clients(self) -> dict[str, MemberClient]:
+        """Return clients of listed, rostered and recently removed members."""
         clients = dict(self._group.member_by_name)
         gone = self._directory.recently_removed(self._group.name)
-        for entry in (*self._known.member_by_name.values(), *gone):
+        for entry in (*self._roster.member_by_name.values(), *gone):
             if entry.member not in clients:
                 clients[entry.member] = MemberClient(
                     entry, self._links, self._clock
@@ -147,7 +157,10 @@
     async def _ask_all(
         self, clients: dict[str, MemberClient], command: str, *arguments: int
     ) -> tuple[MemberStatus, ...]:
-        """Ask members; one off the roster counts only if it answers."""
+        """Send a command to members and return their statuses.
+
+        A member that isn't on the roster is included only if it answers.
+        """
 
         async def ask(client: MemberClient) -> MemberStatus:
             report = await client.ask(command, *arguments)
@@ -158,10 +171,12 @@
             item
             for item in statuses
             if not item.is_silent
-            or item.entry.member in self._known.member_by_name
+            or item.entry.member in self._roster.member_by_name
         )
 
-    def _but(self, members: Iterable[str]) -> dict[str, MemberClient]:
+    def _clients_except(
+        self, members: Iterable[str]
+    ) -> dict[str, MemberClient]:
         return {
             name: client
             for name, client in self.clients.items()
@@ -182,10 +197,16 @@
             self._group.evidence.floor,
         )
 
-    async def _depose_stale(
+    async def _demote_stale(
         self, statuses: tuple[MemberStatus, ...], leader: str | None
     ) -> bool:
-        """Make primaries of earlier terms replicas; True if any was."""
+        """Order primaries of earlier terms to step down.
+
+        Returns
+        -------
+        bool
+            Whether there was any.
+        """
         newest = newest_term(statuses)
         stale = {
             item.entry.member: self.clients[item.entry.member]
@@ -198,37 +219,37 @@
         await self._ask_all(stale, "step_down", newest)
         return bool(stale)
 
-    # A primary that is silent --------------------------------------------
+    # A primary that doesn't answer ---------------------------------------
 
     async def _pause_all(
         self, old: str | None, term: int
     ) -> MemberStatus | None:
-        """Pause all that answer, then choose by what they hold."""
-        asked = self._but([old])
+        """Pause all members that answer; choose one by their positions."""
+        asked = self._clients_except([old])
         statuses = await self._ask_all(asked, "pause", term)
         answering = {
             item.entry.member for item in statuses if not item.is_silent
         }
-        # Again, without waiting for those that are silent: the order may
-        # only come right after the answers that allow it.
+        # Pause those again, without waiting for silent members: the order
+        # must be sent immediately after the answers that allow it.
         clients = {name: asked[name] for name in answering}
-        self._asked_at = self._clock.now()
+        self._paused_at = self._clock.now()
         paused = await self._ask_all(clients, "pause", term)
-        return self._choose_safely(self._with_silent(paused), term)
+        return self._choose_promotable(self._with_silent_members(paused), term)
 
-    def _with_silent(
+    def _with_silent_members(
         self, answers: tuple[MemberStatus, ...]
     ) -> tuple[MemberStatus, ...]:
-        """Add the members on the roster that weren't asked again."""
+        """Add rostered members without an answer, as silent ones."""
         asked = {item.entry.member for item in answers}
         silent = tuple(
             MemberStatus(entry, None)
-            for name, entry in self._known.member_by_name.items()
+            for name, entry in self._roster.member_by_name.items()
             if name not in asked
         )
         return (*answers, *silent)
 
-    def _choose_safely(
+    def _choose_promotable(
         self, statuses: tuple[MemberStatus, ...], term: int
     ) -> MemberStatus | None:
         survey = self._survey(statuses, term)
@@ -247,15 +268,15 @@
         term: int,
         reason: Reason,
     ) -> MemberStatus | None:
-        """Stop a primary that answers, once a replica can lead.
+        """Stop a primary that answers, once a replica can replace it.
 
-        The chosen one goes on receiving until then, so that the primary
-        serves for as long as possible.
+        The chosen replica isn't paused and goes on receiving until then, so
+        that the primary serves for as long as possible.
         """
         chosen = choose_replica(statuses, leader).chosen.entry
-        paused = self._but([leader, chosen.member])
+        paused = self._clients_except([leader, chosen.member])
         await self._ask_all(paused, "pause", term)
-        if not await self._catches_up(chosen, leader, term):
+        if not await self._await_catch_up(chosen, leader, term):
             return None
         old = {leader: self.clients[leader]}
         next_term = newest_term(statuses) + 1
@@ -271,21 +292,27 @@
             return await self._pause_all(leader, term)
         if stopped[0].report.is_primary:
             return None
-        return await self._take_last_commits(chosen, stopped[0], term)
+        return await self._await_last_commits(chosen, stopped[0], term)
 
-    async def _catches_up(
+    async def _await_catch_up(
         self, chosen: MemberEntry, leader: str, term: int
     ) -> bool:
-        """Wait until the chosen replica could lead at once."""
-        until = self._clock.now() + CATCH_UP_S
-        first = self._but([chosen.member])
+        """Wait until the chosen replica can replace a stopped primary.
+
+        Returns
+        -------
+        bool
+            False if it can't after ``CATCH_UP_TIMEOUT_S``.
+        """
+        until = self._clock.now() + CATCH_UP_TIMEOUT_S
+        first = self._clients_except([chosen.member])
         while True:
-            # The chosen one last: what it hasn't received by then was
-            # committed since the primary answered.
+            # The chosen replica is asked last: what it hasn't received by
+            # then was committed after the primary answered.
             others = await self._ask_all(first, "status")
             status = await self._ask_one(chosen.member)
             survey = self._survey((*others, status), term)
-            self._silent = frozenset(
+            self._silent_members = frozenset(
                 item.entry.member for item in others if item.is_silent
             )
             if is_worth_stopping(status, survey, leader):
@@ -295,32 +322,38 @@
                 return False
             await sleep(POLL_S)
 
-    async def _take_last_commits(
+    async def _await_last_commits(
         self, chosen: MemberEntry, stopped: MemberStatus, term: int
     ) -> MemberStatus | None:
-        """Return the chosen replica once it holds what was on its way.
+        """Return the chosen replica once it holds the last commits.
 
-        If it never does, whoever may lead without a loss is returned, the
-        stopped one at the last: the group must not stay without a primary.
+        If it doesn't in time, returns any member that can be promoted
+        without losing a commit, the stopped one as a last resort: the group
+        must not stay without a primary.
         """
         name = stopped.entry.member
-        until = self._clock.now() + LAST_COMMITS_S
+        until = self._clock.now() + LAST_COMMITS_TIMEOUT_S
         while True:
-            # Those that were silent would hold up a group without primary.
-            rest = self._but([name, chosen.member, *self._silent])
-            others = await self._ask_all(rest, "pause", term)
+            # Waiting for members that were silent before would prolong the
+            # time without a primary.
+            remaining = self._clients_except(
+                [name, chosen.member, *self._silent_members]
+            )
+            others = await self._ask_all(remaining, "pause", term)
             receiving = await self._ask_one(chosen.member)
             answers = (*others, receiving, stopped)
-            survey = self._survey(self._with_silent(answers), term, name)
-            able = [
+            survey = self._survey(
+                self._with_silent_members(answers), term, name
+            )
+            promotable = [
                 item
                 for item in candidates(survey.statuses, None)
                 if may_promote(item, survey)
             ]
             is_late = self._clock.now() >= until
-            for item in able:
+            for item in promotable:
                 if is_late or item.entry.member == chosen.member:
-                    self._is_stopped = True
+                    self._has_stopped_primary = True
                     return item
             if is_late:
                 self._log_unsafe(survey.statuses)
@@ -336,38 +369,39 @@
     async def _promote(
         self, chosen: MemberStatus, term: int, old: str | None
     ) -> bool:
-        """Order the promotion and wait until it shows."""
-        # A replica that starts again, or comes back, is not paused: it
-        # would vouch for the old primary to readers that haven't heard of
-        # the new one. Not waited for, since a member that is silent would
-        # hide the effect for as long as its time limit.
-        others = self._but([chosen.entry.member, old])
+        """Order the promotion and wait until it shows in the status."""
+        # A replica that restarts or returns is not paused: it would
+        # confirm to readers that don't know the new primary yet that the
+        # old one still leads. The pause runs in the background, since
+        # waiting for a silent member would delay the detection of the
+        # promotion by that request's whole timeout.
+        others = self._clients_except([chosen.entry.member, old])
         pausing = create_task(self._ask_all(others, "pause", term))
-        until = self._clock.now() + EFFECT_S
+        until = self._clock.now() + PROMOTION_TIMEOUT_S
         is_ordered = False
         try:
             while self._clock.now() < until:
                 if not is_ordered:
                     if not await self._may_order(chosen, term, old):
-                        return await self._leads(chosen)
-                    is_ordered = await self._order(chosen)
-                if await self._leads(chosen):
+                        return await self._check_promoted(chosen)
+                    is_ordered = await self._send_order(chosen)
+                if await self._check_promoted(chosen):
                     return True
                 if pausing.done():
                     pausing = create_task(self._ask_all(others, "pause", term))
                 await sleep(POLL_S)
         finally:
-            # One that arrives later would undo what follows.
+            # A pause that arrives later would undo the following resume.
             await pausing
         return False
 
-    async def _order(self, chosen: MemberStatus) -> bool:
+    async def _send_order(self, chosen: MemberStatus) -> bool:
         return await self._orders.promote(
             self._group.name, chosen.entry.member, self._vm, self._duty.fence
         )
 
-    async def _leads(self, chosen: MemberStatus) -> bool:
-        """Say whether the chosen member leads; note it if so."""
+    async def _check_promoted(self, chosen: MemberStatus) -> bool:
+        """Return whether the chosen member leads; record it if so."""
         member = chosen.entry.member
         asked_at = self._clock.now()
         report = await self.clients[member].ask("status")
@@ -379,28 +413,28 @@
     async def _may_order(
         self, chosen: MemberStatus, term: int, old: str | None
     ) -> bool:
-        """Say whether the answers still allow the order right now.
+        """Return whether duty and pauses are still valid for the order.
 
-        This VM may have been suspended since it took the duty, or since
+        This VM may have been suspended since it claimed the duty, or since
         the members answered.
         """
-        if not self._is_stopped and self._is_old_news():
-            again = await self._pause_all(old, term)
-            if again is None or again.entry != chosen.entry:
+        if not self._has_stopped_primary and self._are_pauses_stale():
+            repeated = await self._pause_all(old, term)
+            if repeated is None or repeated.entry != chosen.entry:
                 return False
-            if self._is_old_news():
+            if self._are_pauses_stale():
                 return False
         return self._duty.allows_order(self._clock.now())
 
-    def _is_old_news(self) -> bool:
-        return self._clock.now() - self._asked_at > ORDER_WITHIN_S
+    def _are_pauses_stale(self) -> bool:
+        return self._clock.now() - self._paused_at > MAX_PAUSE_AGE_S
 
-    # Afterwards ----------------------------------------------------------
+    # After the promotion -------------------------------------------------
 
     async def _finish(self, chosen: MemberStatus, old: str | None) -> None:
-        """Depose the old primary, let replicas receive again."""
+        """Demote the old primary and resume the paused replicas."""
         term = self._group.evidence.term
-        others = self._but([chosen.entry.member])
+        others = self._clients_except([chosen.entry.member])
         replaced = {name: others[name] for name in others if name == old}
         await self._ask_all(replaced, "step_down", term)
         statuses = await self._ask_all(others, "status")
@@ -414,12 +448,12 @@
         await self._group.fresh_round()
 
     async def _resume(self, statuses: tuple[MemberStatus, ...]) -> None:
-        targets = {
+        replicas = {
             item.entry.member: self.clients[item.entry.member]
             for item in statuses
             if item.is_silent or not item.report.is_primary
         }
-        await self._ask_all(targets, "resume")
+        await self._ask_all(replicas, "resume")
 
     def _log_unsafe(self, statuses: tuple[MemberStatus, ...]) -> None:
         log_event(
--- a/redwingpost/node/takeover/duty.py
+++ b/redwingpost/node/takeover/duty.py
@@ -1,4 +1,4 @@
-"""Take the duty of ordering promotions, at the fleet's store."""
+"""Claims of the duty, the right to order promotions, in the fleet's store."""
 
 from asyncio import wait_for
 from typing import NamedTuple
@@ -11,23 +11,23 @@
 from redwingpost.ports.fleet_store import FleetStore, Snapshot
 from redwingpost.ports.platform import Condition, Row, Write
 
-#: Rows of what concerns the groups: who may order promotions, and which
-#: members they have had. No VM follows this table, so that none is woken
-#: by a claim of the duty.
+#: Table of rows about the groups: the holder of the duty, and the groups'
+#: rosters. No VM follows this table, so that a claim of the duty causes no
+#: change notifications.
 GROUP_TABLE = "redwing-groups"
 
 DUTY_KEY = "duty/promotions"
 
-#: Seconds for each call about the duty: above what a store that is sixty
-#: times as slow as usual takes. The store keeps an applied claim from all
-#: others, so that a lost answer would delay a takeover by the call's whole
-#: time limit, 1.5 s; so would a question that was sent just before the
-#: store could be reached again.
+#: Timeout of each store call about the duty, in seconds: above the duration
+#: at a store that is sixty times as slow as usual. An applied claim excludes
+#: all other VMs, so that a lost answer would delay a takeover by the call's
+#: own timeout of 1.5 s; so would a read that was sent just before the store
+#: became reachable again.
 DUTY_CALL_S = 0.7
 
 
-class Taken(NamedTuple):
-    """The duty, and the table's rows as they were when it was taken."""
+class ClaimedDuty(NamedTuple):
+    """The duty, and the table's rows as read for the claim."""
 
     duty: HeldDuty
     rows: tuple[Row, ...]
@@ -41,24 +41,30 @@
         self._vm = vm
         self._clock = clock
 
-    async def take(self) -> Taken | None:
-        """Take or extend the duty; None where another VM holds it."""
-        asked_at = self._clock.now()
+    async def take(self) -> ClaimedDuty | None:
+        """Claim or extend the duty.
+
+        Returns
+        -------
+        ClaimedDuty or None
+            None if another VM holds the duty or the claim failed.
+        """
+        requested_at = self._clock.now()
         got = await self._read()
         if got is None:
             return None
-        found = [row for row in got.rows if row.key == DUTY_KEY]
-        version = found[0].version if found else 0
-        row = DutyRow.from_value(found[0].value if found else None)
-        wanted = claim(row, self._vm, got.now_ms)
-        if wanted is None:
+        duty_rows = [row for row in got.rows if row.key == DUTY_KEY]
+        version = duty_rows[0].version if duty_rows else 0
+        row = DutyRow.from_value(duty_rows[0].value if duty_rows else None)
+        new_row = claim(row, self._vm, got.now_ms)
+        if new_row is None:
             log_event("duty-elsewhere", holder=row.holder, fence=row.fence)
             return None
-        if not await self._write(wanted, version):
+        if not await self._write(new_row, version):
             return None
-        log_event("duty-taken", fence=wanted.fence)
-        until = holder_valid_until(asked_at, DUTY_MS / 1000.0)
-        return Taken(HeldDuty(wanted.fence, until), got.rows)
+        log_event("duty-taken", fence=new_row.fence)
+        until = holder_valid_until(requested_at, DUTY_MS / 1000.0)
+        return ClaimedDuty(HeldDuty(new_row.fence, until), got.rows)
 
     async def _read(self) -> Snapshot | None:
         reading = self._store.snapshot(GROUP_TABLE)
@@ -72,32 +78,32 @@
             return None
         return got.ok
 
-    async def _write(self, wanted: DutyRow, version: int) -> bool:
+    async def _write(self, new_row: DutyRow, version: int) -> bool:
         claiming = self._store.transact(
             (Condition(GROUP_TABLE, DUTY_KEY, version),),
-            (Write(GROUP_TABLE, DUTY_KEY, wanted.to_value()),),
+            (Write(GROUP_TABLE, DUTY_KEY, new_row.to_value()),),
         )
         try:
             done = await wait_for(claiming, DUTY_CALL_S)
         except TimeoutError:
-            log_event("duty-unanswered", fence=wanted.fence)
-            return await self._has_taken(wanted)
+            log_event("duty-unanswered", fence=new_row.fence)
+            return await self._was_written(new_row)
         if done.is_ok():
             return done.ok.committed
         if done.error.code.name != Code.STORE_OUTCOME_UNKNOWN.name:
             return False
-        return await self._has_taken(wanted)
+        return await self._was_written(new_row)
 
-    async def _has_taken(self, wanted: DutyRow) -> bool:
-        """Read back a write whose answer was lost.
+    async def _was_written(self, new_row: DutyRow) -> bool:
+        """Return whether a write whose answer was lost has been applied.
 
-        The row names its holder, its fence and its end, which no other
-        write of this VM repeats.
+        Reads the row back. Its holder, fence and expiry identify the write:
+        no other write of this VM has the same three.
         """
         got = await self._read()
         if got is None:
             return False
         return any(
-            row.key == DUTY_KEY and DutyRow.from_value(row.value) == wanted
+            row.key == DUTY_KEY and DutyRow.from_value(row.value) == new_row
             for row in got.rows
         )
--- a/redwingpost/node/takeover/keeper.py
+++ b/redwingpost/node/takeover/keeper.py
@@ -1,4 +1,4 @@
-"""Conduct takeovers: watch every group, replace what must be replaced."""
+"""Detection of groups that need another primary, and their takeovers."""
 
 from asyncio import Task, create_task
 from typing import Any
@@ -9,7 +9,10 @@
 from redwingpost.node.group import GroupClient
 from redwingpost.node.metrics import NodeMetrics
 from redwingpost.node.request.admission import Admission
-from redwingpost.node.takeover.conductor import Conductor, Outside
+from redwingpost.node.takeover.coordinator import (
+    Coordinator,
+    TakeoverDependencies,
+)
 from redwingpost.node.takeover.duty import DutyKeeper
 from redwingpost.node.takeover.leader_view import LeaderViews
 from redwingpost.node.takeover.rosters import decode_rosters
@@ -22,13 +25,13 @@
 )
 
 #: Seconds before a takeover that failed is tried again.
-AGAIN_S = 0.7
+RETRY_DELAY_S = 0.7
 
 
 class TakeoverKeeper(Service):
-    """Watches groups and has their primaries replaced.
+    """Checks all groups and starts a takeover where one is needed.
 
-    ``outside`` is what a takeover needs of its own.
+    ``dependencies`` is passed on to each takeover.
     """
 
     def __init__(
@@ -39,7 +42,7 @@
         vms: VmTable,
         views: LeaderViews,
         metrics: NodeMetrics,
-        outside: Outside,
+        dependencies: TakeoverDependencies,
         **kwargs: Any,
     ) -> None:
         super().__init__(**kwargs)
@@ -49,53 +52,54 @@
         self._vms = vms
         self._views = views
         self._metrics = metrics
-        self._outside = outside
-        self._clock = outside.clock
+        self._dependencies = dependencies
+        self._clock = dependencies.clock
         self._due_by_group: dict[str, tuple[Reason, float]] = {}
         self._task_by_group: dict[str, Task] = {}
 
-    def look_at_all(self) -> None:
-        """Look whether a group's primary must be replaced."""
+    def check_all(self) -> None:
+        """Check each group's primary; start the takeovers that are due."""
         for group in tuple(self._group_by_name.values()):
-            self._look(group)
+            self._check(group)
 
-    def _look(self, group: GroupClient) -> None:
+    def _check(self, group: GroupClient) -> None:
         running = self._task_by_group.get(group.name)
         if running is not None and not running.done():
             return
         now = self._clock.now()
         reason = None
-        if group.is_active(now) and self._views.may_be_wrong(group, now):
+        if group.is_active(now) and self._views.may_need_takeover(group, now):
             reason = reason_to_act(self._views.describe(group, now))
-        known = self._due_by_group.get(group.name)
+        due = self._due_by_group.get(group.name)
         if reason is None:
             self._due_by_group.pop(group.name, None)
             return
-        if known is None or known[0] is not reason:
+        if due is None or due[0] is not reason:
             delay = group.place(now) * TAKEOVER_STAGGER_S
             self._due_by_group[group.name] = (reason, now + delay)
             log_event("takeover-due", group=group.name, reason=reason.value)
-        elif now >= known[1]:
-            self._due_by_group[group.name] = (reason, now + AGAIN_S)
-            task = create_task(self._conduct_logged(group, reason))
+        elif now >= due[1]:
+            self._due_by_group[group.name] = (reason, now + RETRY_DELAY_S)
+            task = create_task(self._take_over_logged(group, reason))
             self._task_by_group[group.name] = task
 
-    def try_soon(self) -> None:
-        """Let takeovers that wait for their next try begin now.
+    def retry_now(self) -> None:
+        """Make waiting takeovers due now.
 
-        The store has just answered again. Without it nobody could take
-        the duty, and groups without a primary would wait for the next
-        try, 0.7 s, for nothing.
+        Called when the store has just become reachable again. Without the
+        store no VM can claim the duty, and a group without a primary would
+        wait for the rest of ``RETRY_DELAY_S`` although the claim can
+        succeed now.
         """
         now = self._clock.now()
         for name, (reason, due_at) in tuple(self._due_by_group.items()):
             self._due_by_group[name] = (reason, min(due_at, now))
 
-    async def _conduct_logged(
+    async def _take_over_logged(
         self, group: GroupClient, reason: Reason
     ) -> None:
         try:
-            outcome = await self._conduct(group, reason)
+            outcome = await self._take_over(group, reason)
         except Exception as error:
             outcome = f"failed: {type(error).__name__} {error}"
         self._metrics.takeovers.labels(reason.value, outcome[:20]).inc()
@@ -108,26 +112,29 @@
             term=group.evidence.term,
         )
 
-    async def _conduct(self, group: GroupClient, reason: Reason) -> str:
-        taken = await self._duty.take()
-        if taken is None:
+    async def _take_over(self, group: GroupClient, reason: Reason) -> str:
+        claimed = await self._duty.take()
+        if claimed is None:
             return "not the holder"
-        if self._is_settled(group):
+        if self._is_resolved(group):
             return "not needed any more"
-        stored = decode_rosters(taken.rows).get(group.name)
-        conductor = Conductor(
+        stored = decode_rosters(claimed.rows).get(group.name)
+        coordinator = Coordinator(
             group,
             stored.roster if stored else Roster({}),
             self._admission.sync_replicas(group.name),
-            taken.duty,
-            self._outside,
+            claimed.duty,
+            self._dependencies,
         )
         try:
-            return await conductor.run(reason)
+            return await coordinator.run(reason)
         finally:
-            conductor.close()
+            coordinator.close()
+
+    def _is_resolved(self, group: GroupClient) -> bool:
+        """Return whether no takeover is needed any more.
 
-    def _is_settled(self, group: GroupClient) -> bool:
-        """Say whether another VM has seen to it meanwhile."""
+        Another VM may have replaced the primary meanwhile.
+        """
         view = self._views.describe(group, self._clock.now())
         return reason_to_act(view) is None
--- a/redwingpost/node/takeover/leader_view.py
+++ b/redwingpost/node/takeover/leader_view.py
@@ -1,4 +1,4 @@
-"""What this VM and those in hearing see of a group's primary."""
+"""The state of a group's primary as this VM and others observe it."""
 
 from collections.abc import Callable
 
@@ -11,16 +11,16 @@
 
 
 class LeaderViews:
-    """Describes primaries to the judgement of whether one must go.
+    """Builds the views on which the decision about a takeover is based.
 
     Parameters
     ----------
     vms : VmTable
-        Who is heard, and what they say.
+        The VMs whose heartbeats arrive, and their reports.
     centres : CentreWatch
-        Which data centres answer.
+        Reachability of the data centres.
     is_registry_lost : callable
-        Says whether the registry doesn't answer just now.
+        Returns whether the registry is currently unreachable.
     """
 
     def __init__(
@@ -33,11 +33,11 @@
         self._centres = centres
         self._is_registry_lost = is_registry_lost
 
-    def may_be_wrong(self, group: GroupClient, now: float) -> bool:
-        """Say whether a group is worth a closer look.
+    def may_need_takeover(self, group: GroupClient, now: float) -> bool:
+        """Return whether a group's view has to be built.
 
-        Nearly always nothing is wrong, and a view of it would be the most
-        that a VM without callers does.
+        A cheap check: nearly always nothing is wrong, and building all
+        views would be most of the work of a VM without callers.
         """
         if group.is_alert() or self._vms.is_any_write_stuck(now):
             return True
@@ -45,7 +45,7 @@
         return self._centre_lost_s(client) > 0.0
 
     def describe(self, group: GroupClient, now: float) -> LeaderView:
-        """Return what is seen of a group's primary at ``now`` (seconds)."""
+        """Return the view of a group's primary at ``now`` (seconds)."""
         leader = group.evidence.leader
         client = group.member_by_name.get(leader or "")
         reports = self._vms.health_of(leader or "", now)
@@ -56,7 +56,7 @@
             is_draining=client is not None and client.entry.is_draining,
             silent_s=float("inf") if client is None else client.failing_s,
             others_silent_s=tuple(r.silent_ms / 1000.0 for r in reports),
-            others_failing_s=_failing_s(reports),
+            others_failing_s=_failing_by_vm_s(reports),
             hears_half=self._vms.hears_half(now),
             stalled_s=group.stalled_s,
             stuck_s=stuck_everywhere_s(
@@ -64,10 +64,10 @@
                 group.writes.since_acknowledged_s(now),
                 reports,
             ),
-            leaderless_s=_since(group.leaderless_since, now),
-            registry_has_no_primary=self._is_off_list(group),
-            replicas_answering=_answering(group, leader),
-            paused_s=_since(group.paused_since, now),
+            leaderless_s=_elapsed_s(group.leaderless_since, now),
+            registry_has_no_primary=self._registry_has_no_primary(group),
+            replicas_answering=_count_answering(group, leader),
+            paused_s=_elapsed_s(group.paused_since, now),
             centre_lost_s=self._centre_lost_s(client),
             latest_silent_s=tuple(r.silent_ms / 1000.0 for r in latest),
             hears_half_lately=self._vms.hears_half(now, RECENT_HEARTBEAT_S),
@@ -78,8 +78,8 @@
             return 0.0
         return self._centres.lost_s(client.entry.data_centre)
 
-    def _is_off_list(self, group: GroupClient) -> bool:
-        """Say whether the registry answers and lists no primary."""
+    def _registry_has_no_primary(self, group: GroupClient) -> bool:
+        """Return whether the registry answers and lists no primary."""
         if self._is_registry_lost():
             return False
         return not any(
@@ -88,16 +88,16 @@
         )
 
 
-def _failing_s(reports: tuple[MergedHealth, ...]) -> tuple[float, ...]:
-    """Return for how long a primary fails, for each VM that tells of it."""
+def _failing_by_vm_s(reports: tuple[MergedHealth, ...]) -> tuple[float, ...]:
+    """Return how long a primary has failed, for each VM that observes it."""
     failing_ms = [ms for report in reports for ms in report.failing_ms]
     observers = sum(report.observers for report in reports)
-    fine = observers - len(failing_ms)
-    return (*(ms / 1000.0 for ms in failing_ms), *([0.0] * fine))
+    healthy = observers - len(failing_ms)
+    return (*(ms / 1000.0 for ms in failing_ms), *([0.0] * healthy))
 
 
-def _answering(group: GroupClient, leader: str | None) -> int:
-    """Return how many members but the primary have answered last."""
+def _count_answering(group: GroupClient, leader: str | None) -> int:
+    """Return how many members other than the primary answer."""
     return sum(
         not client.is_failing
         for name, client in group.member_by_name.items()
@@ -105,5 +105,5 @@
     )
 
 
-def _since(moment: float | None, now: float) -> float:
+def _elapsed_s(moment: float | None, now: float) -> float:
     return 0.0 if moment is None else now - moment
--- a/redwingpost/node/takeover/rosters.py
+++ b/redwingpost/node/takeover/rosters.py
@@ -1,4 +1,4 @@
-"""Keep the groups' rosters in the fleet's store, and read them."""
+"""Updates of the groups' rosters in the fleet's store, and their decoding."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -24,25 +24,26 @@
 
 ROSTER_PREFIX = "roster/"
 
-#: Seconds between looks. A member that has just come is on every VM's list;
-#: the row is for those that start after it has gone.
-_LOOK_S = 1.0
+#: Seconds between checks. A member that has just started is on the
+#: registry's list, which every VM has; the row is for VMs that start after
+#: the member has left the list.
+_CHECK_INTERVAL_S = 1.0
 
-#: Seconds between steps: as soon as a member ends it is asked what the
-#: others must hold, and then whether they do.
-_STEP_S = 0.1
+#: Seconds between steps while a member is being removed: first the position
+#: is read that the other members must hold, then whether they do.
+_STEP_INTERVAL_S = 0.1
 
-#: Seconds after a VM's start before it writes: by then it hears the others
-#: and knows whether it is the one to write.
-_FIRST_LOOK_S = 1.0
+#: Seconds after a VM's start before it writes: by then heartbeats arrive,
+#: and it can tell whether it is the VM that writes.
+_START_DELAY_S = 1.0
 
-#: One VM at a time writes the rosters; its place in the order of VMs is
-#: looked up under this name.
+#: One VM at a time writes the rosters: the first in the order of VMs for
+#: this key.
 _SUBJECT = "rosters"
 
 
 class StoredRoster(NamedTuple):
-    """A roster and its row's version; 0 where there is no row."""
+    """A roster and its row's version, 0 if there is no row."""
 
     roster: Roster
     version: int
@@ -63,21 +64,21 @@
 
 
 class _Pending(NamedTuple):
-    """Members that are gone, and what the others must hold."""
+    """Members that are gone, and the position that the others must hold."""
 
     gone: frozenset[str]
     position: Position
 
 
 class RosterKeeper(Service):
-    """Writes which members the groups have had.
+    """Writes the groups' rosters.
 
     Parameters
     ----------
     is_registry_lost : callable
-        Says whether the registry doesn't answer just now.
+        Returns whether the registry is currently unreachable.
     drain_s : float
-        Seconds that a member serves on after it has announced its end.
+        Seconds that a member goes on serving after it has announced its end.
     """
 
     def __init__(
@@ -100,37 +101,38 @@
         self._drain_s = drain_s
         self._clock = clock
         self._stored_by_group: dict[str, StoredRoster] | None = None
-        self._look_at = float("-inf")
+        self._check_at = float("-inf")
         self._missing_since: dict[str, float] = {}
         self._pending_by_group: dict[str, _Pending] = {}
 
     @Service.task
-    async def _keep(self) -> None:
-        await self.sleep(_FIRST_LOOK_S)
-        await repeat(self, self._look_again, _STEP_S)
+    async def _run_checks(self) -> None:
+        await self.sleep(_START_DELAY_S)
+        await repeat(self, self._check_if_due, _STEP_INTERVAL_S)
 
-    def look_soon(self) -> None:
-        """Look at once: a member has come or gone.
+    def check_now(self) -> None:
+        """Make the next check due now, as a member was added or removed.
 
-        Until one that ended is off the roster, a primary that is lost
-        can't be replaced: both are silent then.
+        Until a member that ended is off the roster, a lost primary can't be
+        replaced, since two members would be silent.
         """
-        self._look_at = float("-inf")
+        self._check_at = float("-inf")
 
-    async def _look_again(self) -> None:
+    async def _check_if_due(self) -> None:
         now = self._clock.now()
-        if now < self._look_at:
+        if now < self._check_at:
             return
-        self._look_at = now + _LOOK_S
-        before = len(self._pending_by_group)
-        await self.look()
-        if len(self._pending_by_group) > before:
-            self._look_at = float("-inf")
-
-    async def look(self) -> None:
-        """Bring the rows in step with who is listed and who is gone."""
+        self._check_at = now + _CHECK_INTERVAL_S
+        pending_before = len(self._pending_by_group)
+        await self.check()
+        if len(self._pending_by_group) > pending_before:
+            self._check_at = float("-inf")
+
+    async def check(self) -> None:
+        """Update the rosters' rows to the members listed and gone."""
         now = self._clock.now()
-        # Whoever hears few takes itself for the first that is there.
+        # A VM that receives heartbeats from few others would wrongly take
+        # itself for the first in the order.
         if self._is_registry_lost() or not self._vms.hears_half(now):
             return
         if self._vms.place(_SUBJECT, now) != 0:
@@ -139,13 +141,13 @@
             self._stored_by_group = await self._read()
         if self._stored_by_group is None:
             return
-        wanted = {
-            group.name: await self._wanted(group)
+        required = {
+            group.name: await self._required_roster(group)
             for group in tuple(self._group_by_name.values())
         }
         changed = {
             name: roster
-            for name, roster in wanted.items()
+            for name, roster in required.items()
             if roster != self._stored(name).roster
         }
         if changed:
@@ -161,7 +163,7 @@
     def _stored(self, group: str) -> StoredRoster:
         return self._stored_by_group.get(group, StoredRoster(Roster({}), 0))
 
-    async def _wanted(self, group: GroupClient) -> Roster:
+    async def _required_roster(self, group: GroupClient) -> Roster:
         roster = self._stored(group.name).roster
         listed = self._directory.members_of(group.name)
         gone = frozenset(
@@ -171,7 +173,7 @@
         )
         if not gone:
             self._pending_by_group.pop(group.name, None)
-        elif not await self._do_rest_hold_all(group, gone):
+        elif not await self._do_remaining_hold_all(group, gone):
             gone = frozenset()
         return roster.without(gone).with_listed(listed)
 
@@ -183,41 +185,39 @@
         announced_s = self._directory.announced_s(member)
         return is_gone(Absence(now - since, announced_s), self._drain_s)
 
-    async def _do_rest_hold_all(
+    async def _do_remaining_hold_all(
         self, group: GroupClient, gone: frozenset[str]
     ) -> bool:
-        """Say whether those that stay hold all that the gone ones had.
+        """Return whether the remaining members hold what gone ones had.
 
-        The first look takes the primary's position, the next ones wait
-        until all are seen to hold it: in one round of questions replicas
-        are a few milliseconds behind.
+        The first check reads the primary's position, the following ones
+        wait until all members have reported it: within one status round
+        replicas are a few milliseconds behind the primary.
         """
         pending = self._pending_by_group.get(group.name)
         if pending is None or pending.gone != gone:
-            position = await self._position_of_primary(group)
+            position = await self._primary_position(group)
             if position is not None:
                 pending = _Pending(gone, position)
                 self._pending_by_group[group.name] = pending
             return False
         await group.fresh_round()
-        heard = [
+        observed = [
             group.evidence.last_report(name) for name in group.member_by_name
         ]
-        reports = tuple(item.report if item else None for item in heard)
+        reports = tuple(item.report if item else None for item in observed)
         if not is_held_by_all(pending.position, reports):
             return False
         del self._pending_by_group[group.name]
         return True
 
-    async def _position_of_primary(
-        self, group: GroupClient
-    ) -> Position | None:
+    async def _primary_position(self, group: GroupClient) -> Position | None:
         asked_at = self._clock.now()
         await group.fresh_round()
-        heard = group.evidence.last_report(group.evidence.leader or "")
-        if heard is None or heard.asked_at < asked_at:
+        observed = group.evidence.last_report(group.evidence.leader or "")
+        if observed is None or observed.asked_at < asked_at:
             return None
-        return heard.report.received
+        return observed.report.received
 
     async def _write(self, roster_by_group: dict[str, Roster]) -> None:
         conditions = tuple(
@@ -231,8 +231,8 @@
             for name, roster in roster_by_group.items()
         )
         done = await self._store.transact(conditions, writes)
-        # Whether or not it took effect, and in which version: the next
-        # look reads it back if something is still to write.
+        # The write may or may not have been applied. The next check reads
+        # the rows again and writes what is still missing.
         if done.is_error() or not done.ok.committed:
             self._stored_by_group = None
             log_event("rosters-not-written", groups=sorted(roster_by_group))
--- a/redwingpost/node/tests/test_conductor.py
+++ b/redwingpost/node/tests/test_coordinator.py
@@ -1,4 +1,4 @@
-"""One takeover among members that fail while it goes on."""
+"""One takeover while members of the group fail."""
 
 from collections.abc import Callable
 from unittest import IsolatedAsyncioTestCase
@@ -7,7 +7,10 @@
 from redwingpost.groups.directory import Directory
 from redwingpost.groups.evidence import GroupEvidence
 from redwingpost.leases.duty import HeldDuty
-from redwingpost.node.takeover.conductor import Conductor, Outside
+from redwingpost.node.takeover.coordinator import (
+    Coordinator,
+    TakeoverDependencies,
+)
 from redwingpost.ports.clock import MonotonicClock
 from redwingpost.ports.database import MemberEntry, StatusReport
 from redwingpost.takeover.roster import Roster
@@ -21,7 +24,7 @@
 
 
 class FakeMember:
-    """A member of a group, and its client in one."""
+    """A member of a group and its client."""
 
     def __init__(self, name: str, index: int, is_primary: bool = False):
         self.entry = _entry(name, is_primary)
@@ -30,15 +33,15 @@
         self.term = 1
         self.paused_for = 0
         self.is_silent = False
-        self.heard: list[str] = []
-        self.before: Callable[[str], None] = lambda command: None
+        self.commands: list[str] = []
+        self.on_command: Callable[[str], None] = lambda command: None
 
     async def ask(self, command: str, *arguments: int) -> StatusReport | None:
-        """Do as told, and report."""
-        self.before(command)
+        """Apply a command and return the status."""
+        self.on_command(command)
         if self.is_silent:
             return None
-        self.heard.append(command)
+        self.commands.append(command)
         if command == "pause":
             self.paused_for = arguments[0]
         elif command == "resume":
@@ -51,11 +54,11 @@
         )
 
     def close(self) -> None:
-        """Nothing rests here."""
+        """Do nothing: there is no connection."""
 
 
 class FakeGroup:
-    """A group of three, and the platform's orders."""
+    """A group of three members that also takes promotion orders."""
 
     name = _GROUP
 
@@ -67,58 +70,62 @@
         }
         self.member_by_name = {name: self.all_by_name[name] for name in listed}
         self.evidence = GroupEvidence()
-        self.ordered: list[str] = []
-        self.stopped_by_order: list[bool] = []
+        self.promoted: list[str] = []
+        self.stopped_before_order: list[bool] = []
 
     async def promote(self, group, member, holder, fence) -> bool:
-        """Take an order, which takes effect at once."""
+        """Apply a promotion order immediately."""
         primary = self.all_by_name["p"]
-        self.ordered.append(member)
-        self.stopped_by_order.append(not primary.is_primary)
+        self.promoted.append(member)
+        self.stopped_before_order.append(not primary.is_primary)
         chosen = self.all_by_name[member]
         chosen.is_primary = True
         chosen.term += 1
         return True
 
     async def fresh_round(self) -> None:
-        """Ask nobody."""
+        """Do nothing."""
 
 
 class TakeoverTest(IsolatedAsyncioTestCase):
-    def _conductor(self, group: FakeGroup, roster: str = "pab") -> Conductor:
+    def _coordinator(
+        self, group: FakeGroup, roster: str = "pab"
+    ) -> Coordinator:
         clock = MonotonicClock()
         directory = Directory()
         for member in group.member_by_name.values():
             directory.put(member.entry, clock.now())
-        outside = Outside(directory, None, group, clock, "vm-1")
+        dependencies = TakeoverDependencies(
+            directory, None, group, clock, "vm-1"
+        )
         entries = tuple(_entry(name) for name in roster)
         duty = HeldDuty(1, clock.now() + 60.0)
-        known = Roster({}).with_listed(entries)
-        conductor = Conductor(group, known, 1, duty, outside)
+        stored = Roster({}).with_listed(entries)
+        coordinator = Coordinator(group, stored, 1, duty, dependencies)
         for name, client in group.all_by_name.items():
-            if name in conductor.clients:
-                conductor.clients[name] = client
-        return conductor
+            if name in coordinator.clients:
+                coordinator.clients[name] = client
+        return coordinator
 
     async def test_a_primary_that_answers_is_stopped_first(self) -> None:
-        """A primary is to stop soon, and another replaces it.
+        """A primary that will stop soon is stopped before the promotion.
 
-        Commits that it takes until the new one leads may reach a replica
-        that has just forgotten its pause, and nobody else.
+        Otherwise commits that it takes until the new primary leads may reach
+        only a replica that has restarted and lost its pause.
         """
         group = FakeGroup()
-        outcome = await self._conductor(group).run(Reason.LEAVING)
+        outcome = await self._coordinator(group).run(Reason.LEAVING)
         self.assertEqual("done", outcome)
-        self.assertEqual([True], group.stopped_by_order)
-        self.assertIn("pause", group.all_by_name["a"].heard)
+        self.assertEqual([True], group.stopped_before_order)
+        self.assertIn("pause", group.all_by_name["a"].commands)
 
     async def test_two_silent_members(self) -> None:
-        """The primary is silent, and another member with it.
+        """The primary and another member are silent: no promotion.
 
-        They may be behind one cut and go on acknowledging to callers
-        there; or the other one comes back, unpaused, before the promotion
-        takes effect. On the registry's list only the third is left, and
-        the VM has just started: it has never seen the others.
+        Both may be behind one network partition and go on acknowledging
+        commits, or the other member may return, unpaused, before the
+        promotion takes effect. The registry may list only the third member,
+        and this VM has just started and never saw the others.
         """
         cases = (
             ("both dropped", "b", "pab", []),
@@ -131,57 +138,57 @@
                 group = FakeGroup(listed)
                 group.all_by_name["p"].is_silent = True
                 group.all_by_name["a"].is_silent = not expected
-                conductor = self._conductor(group, roster)
-                await conductor.run(Reason.NONE_LEADS)
-                self.assertEqual(expected, group.ordered)
+                coordinator = self._coordinator(group, roster)
+                await coordinator.run(Reason.NONE_LEADS)
+                self.assertEqual(expected, group.promoted)
 
     async def test_a_replica_starts_again_before_the_order(self) -> None:
-        """A paused replica starts again and has forgotten its pause.
+        """A paused replica restarts and loses its pause.
 
-        The primary can't be asked, but lives, and has this replica confirm
-        a commit before it is paused once more. The other one, which was
-        as far, lacks that commit now.
+        The primary runs but this VM can't reach it. The replica confirms a
+        commit before it is paused again; the other replica, which had the
+        same position, lacks that commit.
         """
         group = FakeGroup()
         group.all_by_name["p"].is_silent = True
         restarting = group.all_by_name["a"]
 
-        def confirm(command: str) -> None:
-            if command == "pause" and restarting.heard.count("pause") == 1:
+        def confirm_commit(command: str) -> None:
+            if command == "pause" and restarting.commands.count("pause") == 1:
                 restarting.index += 1
 
-        restarting.before = confirm
-        outcome = await self._conductor(group).run(Reason.SILENT)
+        restarting.on_command = confirm_commit
+        outcome = await self._coordinator(group).run(Reason.SILENT)
         self.assertEqual("done", outcome)
-        self.assertEqual(["a"], group.ordered)
+        self.assertEqual(["a"], group.promoted)
 
-    async def test_a_stop_in_vain_is_not_tried(self) -> None:
-        """A primary's commits reach no replica, and a member is missing.
+    async def test_a_stop_without_a_promotable_replica(self) -> None:
+        """Commits reach no replica and a member is silent: no stop.
 
-        The missing one may have confirmed what the others lack. A stop
-        would only end the primary's service.
+        The silent member may have confirmed commits that the others lack,
+        so no promotion could follow the stop.
         """
         group = FakeGroup()
         group.all_by_name["p"].index = 20
         group.all_by_name["a"].is_silent = True
-        outcome = await self._conductor(group).run(Reason.STALLED)
+        outcome = await self._coordinator(group).run(Reason.STALLED)
         self.assertEqual("not safe yet", outcome)
-        self.assertNotIn("step_down", group.all_by_name["p"].heard)
+        self.assertNotIn("step_down", group.all_by_name["p"].commands)
 
     async def test_a_primary_that_does_not_stop(self) -> None:
-        """A primary answers the stop, and leads all the same.
+        """A primary answers the stop but goes on leading: no promotion.
 
-        It has heard of a newer term than this VM. Promoted over it,
-        another would lack what it goes on acknowledging.
+        It has a newer term than this VM knows. Another primary would lack
+        the commits that it goes on acknowledging.
         """
         group = FakeGroup()
         primary = group.all_by_name["p"]
 
-        def hear_of_a_newer_term(command: str) -> None:
+        def learn_newer_term(command: str) -> None:
             if command == "step_down":
                 primary.term = 9
 
-        primary.before = hear_of_a_newer_term
-        outcome = await self._conductor(group).run(Reason.LEAVING)
+        primary.on_command = learn_newer_term
+        outcome = await self._coordinator(group).run(Reason.LEAVING)
         self.assertEqual("not safe yet", outcome)
-        self.assertEqual([], group.ordered)
+        self.assertEqual([], group.promoted)
--- a/redwingpost/node/tests/test_duty.py
+++ b/redwingpost/node/tests/test_duty.py
@@ -1,4 +1,4 @@
-"""The duty at a store whose answers are lost."""
+"""Claims of the duty at a store whose answers are lost."""
 
 from asyncio import Event, wait_for
 from unittest import IsolatedAsyncioTestCase
@@ -12,26 +12,26 @@
 from redwingpost.ports.fleet_store import Snapshot
 from redwingpost.ports.platform import Row, TransactResult
 
-#: Far above what reading back takes; a test that waits for the lost
-#: answer never ends.
-_PATIENCE_S = 20.0
+#: Far above the duration of reading the row back. Waiting for the lost
+#: answer would never end.
+_TIMEOUT_S = 20.0
 
 
 class LossyStore:
-    """Applies writes, or not, and never answers them."""
+    """Applies writes, or drops them, and never answers them."""
 
     def __init__(self, applies: bool) -> None:
         self._applies = applies
         self._rows: tuple[Row, ...] = ()
 
     async def snapshot(self, table: str) -> Result[Snapshot, Refusal]:
-        """Return what was applied."""
+        """Return the applied rows."""
         return Ok(Snapshot(self._rows, len(self._rows), 1000))
 
     async def transact(
         self, conditions, writes
     ) -> Result[TransactResult, Refusal]:
-        """Take the writes and say nothing."""
+        """Apply the writes or drop them; never return."""
         if self._applies:
             self._rows = (Row(FLEET_TABLE, DUTY_KEY, 1, writes[0].value),)
         await Event().wait()
@@ -39,25 +39,26 @@
 
 class DutyTest(IsolatedAsyncioTestCase):
     async def test_a_claim_whose_answer_is_lost(self) -> None:
-        """The store applies a claim of the duty, and its answer is lost.
+        """The answer to a claim of the duty is lost.
 
-        Until the call's own time limit nobody replaces the primary: the
-        claim keeps all other VMs away, and its holder doesn't know that
-        it holds. Writers wait a second and a half for nothing.
+        If the claim was applied, it excludes all other VMs, and its holder
+        doesn't know that it holds the duty. Without reading it back no VM
+        could replace the primary until the call's own timeout, and writes
+        would fail for a second and a half.
         """
         for applies in (True, False):
             with self.subTest(applies=applies):
                 keeper = DutyKeeper(
                     LossyStore(applies), "vm-1", VirtualClock()
                 )
-                held = await wait_for(keeper.take(), _PATIENCE_S)
+                held = await wait_for(keeper.take(), _TIMEOUT_S)
                 self.assertEqual(applies, held is not None)
 
     async def test_a_question_that_is_never_answered(self) -> None:
-        """The store can be reached again just after it was asked.
+        """The store becomes reachable just after a read was sent.
 
-        The question's own time limit would hold the takeover up for as
-        long as that, although another question is answered at once.
+        That read is never answered. Its own timeout would delay the
+        takeover, although another read would be answered at once.
         """
 
         class SilentStore(LossyStore):
@@ -65,4 +66,4 @@
                 await Event().wait()
 
         keeper = DutyKeeper(SilentStore(True), "vm-1", VirtualClock())
-        self.assertIsNone(await wait_for(keeper.take(), _PATIENCE_S))
+        self.assertIsNone(await wait_for(keeper.take(), _TIMEOUT_S))
--- a/redwingpost/node/tests/test_rosters.py
+++ b/redwingpost/node/tests/test_rosters.py
@@ -1,4 +1,4 @@
-"""The rosters in the fleet's store, as members come and go."""
+"""The rosters in the fleet's store while members are added and removed."""
 
 from unittest import IsolatedAsyncioTestCase
 
@@ -20,14 +20,14 @@
 
 
 def _table() -> VmTable:
-    """Return the view of a VM that is alone."""
+    """Return the table of the only VM of a fleet."""
     table = VmTable("vm-1", 0.0)
     table.set_listed((VmAddress("vm-1", "ip", 1),))
     return table
 
 
 class FakeStore:
-    """Rows under conditions."""
+    """Keeps rows and applies conditional writes to them."""
 
     def __init__(self) -> None:
         self.rows: dict[str, Row] = {}
@@ -55,13 +55,13 @@
         return Ok(TransactResult(True, (self.version,), ()))
 
     def members(self) -> list[str]:
-        """Return who is on the only group's roster."""
+        """Return the members on the only group's roster."""
         stored = decode_rosters(tuple(self.rows.values()))
         return sorted(stored["g"].roster.member_by_name)
 
 
 class FakeGroup:
-    """A group whose members report what they are given."""
+    """A group whose members report the positions in ``index_by_member``."""
 
     name = "g"
 
@@ -72,7 +72,7 @@
         self._clock = clock
 
     async def fresh_round(self) -> None:
-        """Take in everybody's report; the first member leads."""
+        """Note each member's report; the first member leads."""
         leader = min(self.member_by_name)
         for member in self.member_by_name:
             head = Position(1, self.index_by_member[member])
@@ -110,59 +110,59 @@
         for member in members:
             self.group.index_by_member.setdefault(member, 7)
 
-    async def _look(self, times: int = 1) -> None:
+    async def _check(self, times: int = 1) -> None:
         for _ in range(times):
             self.clock.advance(1.0)
-            await self.keeper.look()
+            await self.keeper.check()
 
     async def test_a_calm_group_costs_two_calls(self) -> None:
         self._list("a", "b", "c")
-        await self._look(times=20)
+        await self._check(times=20)
         self.assertEqual(["a", "b", "c"], self.store.members())
         self.assertEqual(2, self.store.calls)
 
     async def test_a_dropped_member_stays(self) -> None:
-        """A member crashes, or is cut off, and the registry drops it.
+        """The registry drops a member that crashed or is partitioned.
 
-        It may hold the only other copy of a commit. A VM that starts now
-        finds it on the roster.
+        It may hold the only other copy of a commit, so that a VM that
+        starts now must find it on the roster.
         """
         self._list("a", "b", "c")
-        await self._look()
+        await self._check()
         self._list("a", "b")
-        await self._look(times=10)
+        await self._check(times=10)
         self.keeper = self._keeper()
-        await self._look(times=10)
+        await self._check(times=10)
         self.assertEqual(["a", "b", "c"], self.store.members())
 
     async def test_a_member_that_ended_is_forgotten(self) -> None:
-        """A member announces its end and goes, and another is deaf.
+        """A member ends as announced while another receives no commits.
 
-        Until the deaf one has caught up, the one that went may have been
-        the only other to have a commit.
+        Until that other one has caught up, the ended member may hold the
+        only other copy of a commit and must stay on the roster.
         """
         self._list("a", "b", "c")
-        await self._look()
+        await self._check()
         self._list("a", "b", "c", draining="c")
         self.clock.advance(_DRAIN_S + 1.0)
         self._list("a", "b")
         self.group.index_by_member["a"] = 9
-        await self._look(times=5)
+        await self._check(times=5)
         self.assertEqual(["a", "b", "c"], self.store.members())
         self.group.index_by_member["b"] = 9
-        await self._look(times=2)
+        await self._check(times=2)
         self.assertEqual(["a", "b"], self.store.members())
 
     async def test_two_vms_write_at_once(self) -> None:
-        """Another VM has written meanwhile; nothing of it may be undone."""
+        """Another VM has written meanwhile; its change must be kept."""
         self._list("a", "b", "c")
-        await self._look()
+        await self._check()
         first = self.keeper
         self.keeper = self._keeper()
         self._list("a", "b", "d")
-        await self._look()
+        await self._check()
         self.keeper = first
         self._list("a", "b", "e")
-        await self._look(times=2)
+        await self._check(times=2)
         expected = ["a", "b", "c", "d", "e"]
         self.assertEqual(expected, self.store.members())
