--- a/redwingpost/node/forwarding/__init__.py
+++ b/redwingpost/node/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Statements that a home of their group runs for another VM."""
+"""Forwarding of statements to a home of their group."""
--- a/redwingpost/node/forwarding/channel.py
+++ b/redwingpost/node/forwarding/channel.py
@@ -1,4 +1,4 @@
-"""Kept connections to other VMs, over which homes are asked."""
+"""Persistent connections to homes on other VMs."""
 
 from asyncio import (
     Future,
@@ -26,8 +26,8 @@
 from redwingpost.ports.clock import Clock
 from redwingpost.wire.work import MessageError, pack_work, unpack
 
-#: Seconds for a connection to another VM: several round trips.
-CONNECT_S = 0.3
+#: Timeout in seconds for opening a connection: several round trips.
+CONNECT_TIMEOUT_S = 0.3
 
 
 class HomeLost(Exception):
@@ -35,8 +35,10 @@
 
     Parameters
     ----------
+    detail : str
+        Reason for the log and the refusal.
     sent : bool
-        Whether the statement may have reached it.
+        Whether the statement may have reached the home.
     """
 
     def __init__(self, detail: str, sent: bool) -> None:
@@ -46,7 +48,7 @@
 
 
 class HomeChannel:
-    """One connection to a home; statements share it."""
+    """One connection to a home, shared by concurrent statements."""
 
     def __init__(
         self, reader: StreamReader, writer: StreamWriter, clock: Clock
@@ -55,119 +57,128 @@
         self._writer = writer
         self._clock = clock
         self._numbers = count(1)
-        self._waiting_by_number: dict[int, Future] = {}
-        self.heard_at = clock.now()
+        self._future_by_number: dict[int, Future] = {}
+        self.last_received_at = clock.now()
         self.is_open = True
-        self._task: Task = create_task(self._listen())
+        self._task: Task = create_task(self._receive_messages())
 
     def next_number(self) -> int:
-        """Return a number that no other message here has."""
+        """Return a new message number, unique on this connection."""
         return next(self._numbers)
 
-    async def ask(self, work: Work, patience_s: float) -> Done:
-        """Send a statement and return what became of it.
+    async def request(self, work: Work, timeout_s: float) -> Done:
+        """Send a statement and wait for its outcome.
+
+        Parameters
+        ----------
+        work : Work
+            The statement.
+        timeout_s : float
+            How long to wait (seconds).
 
         Raises
         ------
         HomeLost
-            Where nothing came back.
+            If no outcome arrives in time or the connection is closed.
         """
         future = self.send(work)
         try:
-            return await wait_for(future, patience_s)
+            return await wait_for(future, timeout_s)
         except TimeoutError as error:
             raise HomeLost("no answer in time", sent=True) from error
         finally:
-            self.forget(work)
+            self.discard(work)
 
     def send(self, work: Work) -> Future:
-        """Send a statement; the future gets what became of it."""
-        self.tell(work)
+        """Send a statement; return a future for its outcome."""
+        self.send_without_reply(work)
         future = get_running_loop().create_future()
-        self._waiting_by_number[work.number] = future
+        self._future_by_number[work.number] = future
         return future
 
-    def tell(self, work: Work) -> None:
-        """Send a statement of which nobody awaits the outcome."""
+    def send_without_reply(self, work: Work) -> None:
+        """Send a statement whose outcome is ignored."""
         if not self.is_open:
             raise HomeLost("closed", sent=False)
         write_frame(self._writer, pack_work(work))
 
-    def forget(self, work: Work) -> None:
-        """Await the outcome of a statement no longer."""
-        self._waiting_by_number.pop(work.number, None)
+    def discard(self, work: Work) -> None:
+        """Ignore the outcome of a statement from now on."""
+        self._future_by_number.pop(work.number, None)
 
     def close(self) -> None:
-        """Close; whoever waits gets nothing."""
+        """Close the connection; pending requests raise ``HomeLost``."""
         if not self.is_open:
             return
         self.is_open = False
         self._writer.close()
         self._task.cancel()
-        for future in self._waiting_by_number.values():
+        for future in self._future_by_number.values():
             if not future.done():
                 future.set_exception(HomeLost("closed", sent=True))
-        self._waiting_by_number.clear()
+        self._future_by_number.clear()
 
-    async def _listen(self) -> None:
+    async def _receive_messages(self) -> None:
         try:
             while True:
                 message = unpack(await read_frame(self._reader))
-                self.heard_at = self._clock.now()
+                self.last_received_at = self._clock.now()
                 if not isinstance(message, Busy):
-                    self._settle(message)
+                    self._resolve(message)
         except (OSError, IncompleteReadError):
-            # The home went away: whoever waits is told below.
+            # The home is gone. Pending requests fail in close() below.
             pass
         except (FrameError, MessageError) as error:
             log_event("home-unreadable", detail=str(error))
         finally:
             self.close()
 
-    def _settle(self, done: Work | Done) -> None:
+    def _resolve(self, done: Work | Done) -> None:
         if not isinstance(done, Done):
-            raise MessageError("no outcome")
-        future = self._waiting_by_number.pop(done.number, None)
+            raise MessageError("expected an outcome")
+        future = self._future_by_number.pop(done.number, None)
         if future is not None and not future.done():
             future.set_result(done)
 
 
 class Channels:
-    """A connection to each home that was asked.
+    """Connections to homes, one for each address.
 
-    ``limit_s`` is how long opening one may take (seconds).
+    ``connect_timeout_s`` is the timeout for opening one (seconds).
     """
 
-    def __init__(self, clock: Clock, limit_s: float = CONNECT_S) -> None:
+    def __init__(
+        self, clock: Clock, connect_timeout_s: float = CONNECT_TIMEOUT_S
+    ) -> None:
         self._clock = clock
-        self._limit_s = limit_s
+        self._connect_timeout_s = connect_timeout_s
         self._channel_by_ip: dict[tuple[str, int], HomeChannel] = {}
         self._lock_by_ip: dict[tuple[str, int], Lock] = {}
 
     async def get(self, home: VmAddress) -> HomeChannel:
-        """Return the connection to a home; open it if need be.
+        """Return the connection to a home; open it if necessary.
 
         Raises
         ------
         HomeLost
-            Where it can't be opened.
+            If it can't be opened.
         """
         key = (home.ip, home.port)
         async with self._lock_by_ip.setdefault(key, Lock()):
-            known = self._channel_by_ip.get(key)
-            if known is None or not known.is_open:
-                known = self._channel_by_ip[key] = await self._open(home)
-            return known
+            existing = self._channel_by_ip.get(key)
+            if existing is None or not existing.is_open:
+                existing = self._channel_by_ip[key] = await self._open(home)
+            return existing
 
     def close(self) -> None:
-        """Close all."""
+        """Close all connections."""
         for channel in tuple(self._channel_by_ip.values()):
             channel.close()
 
     async def _open(self, home: VmAddress) -> HomeChannel:
         try:
             reader, writer = await wait_for(
-                open_connection(home.ip, home.port), self._limit_s
+                open_connection(home.ip, home.port), self._connect_timeout_s
             )
         except (OSError, TimeoutError) as error:
             reason = type(error).__name__
--- a/redwingpost/node/forwarding/forwarder.py
+++ b/redwingpost/node/forwarding/forwarder.py
@@ -1,11 +1,12 @@
-"""Have homes run a caller's statements; run them here where none can.
-
-What goes wrong at a home is told as truly as at a member. A statement that
-a home never got, or refused without a run, goes to the next one. A read
-whose home falls silent is asked elsewhere; it may run twice, which nobody
-notices. A write whose home falls silent may have run, and nobody knows. A
-transaction ends with the connection to its home: without COMMIT nothing of
-it is kept.
+"""Forwarding of a caller's statements to the homes of their group.
+
+Failures at a home are reported as exactly as failures at a member. A
+statement that a home never received, or refused without running it, is sent
+to the next home. A read whose home doesn't answer is sent to another one;
+it may run twice, which has no effect. A write whose home doesn't answer has
+an unknown outcome. A transaction ends with the connection to its home:
+without COMMIT it is rolled back. A statement that no home takes runs on
+this VM.
 """
 
 from asyncio import Future, wait
@@ -31,29 +32,33 @@
 from redwingpost.ports.clock import Clock
 from redwingpost.retries.budget import RetryBudget
 
-#: Homes that are asked for one statement before it is run here.
+#: Homes to try for one statement before it runs on this VM.
 MAX_HOMES = 3
 
-#: Seconds for which a home may send nothing at all while a read waits there
-#: before another is asked: far above a member's usual time.
-SILENT_S = 0.5
+#: Seconds for which a home may send no message at all while a read waits
+#: there, before another home is tried: far above a member's usual response
+#: time.
+READ_SILENCE_S = 0.5
 
-#: Seconds of silence after which a connection is taken for broken. Sooner,
-#: a busy home would lose all that is under way over it.
-BROKEN_S = 2.0
+#: Seconds without a message after which a connection is closed as broken.
+#: With a shorter time all statements at an overloaded home would be lost.
+CHANNEL_SILENCE_S = 2.0
 
-#: Seconds beyond a statement's own time for its home to tell how it ended.
-MARGIN_S = 0.3
+#: Seconds to wait beyond a statement's own timeout for the home's answer.
+ANSWER_MARGIN_S = 0.3
 
-#: Codes with which a home says that it takes nothing new.
-_HOME_ALONE = frozenset({Code.DRAINING.name, Code.STARTING.name})
+#: Codes with which a home refuses any new statement.
+_REFUSED_BY_HOME = frozenset({Code.DRAINING.name, Code.STARTING.name})
 
-#: Codes with which a home says that another one may do better.
-_ELSEWHERE = _HOME_ALONE | {Code.NO_PRIMARY.name, Code.TARGET_LOST.name}
+#: Codes after which another home may succeed.
+_RETRYABLE_ELSEWHERE = _REFUSED_BY_HOME | {
+    Code.NO_PRIMARY.name,
+    Code.TARGET_LOST.name,
+}
 
 
 class ForwardedStatement(NamedTuple):
-    """A statement, whose it is, and the rules by which it may run."""
+    """A statement with its caller and the rules for running it."""
 
     statement: Statement
     caller: Caller
@@ -63,7 +68,7 @@
 
 
 class Forwarder:
-    """Asks homes; shared by all sessions of a node."""
+    """Sends statements to homes; shared by all sessions of a node."""
 
     def __init__(
         self, homes: HomeView, channels: Channels, clock: Clock
@@ -75,26 +80,32 @@
         self._transactions = count(1)
 
     def has_home_elsewhere(self, group: str, organisation: str) -> bool:
-        """Say whether a home other than this VM should run a statement."""
+        """Return whether another VM should run a statement as home."""
         now = self._clock.now()
-        return bool(self._homes.order(group, organisation, now))
+        return bool(self._homes.homes_to_try(group, organisation, now))
 
     def next_transaction(self) -> int:
-        """Return a number that no other transaction of this VM has."""
+        """Return a new transaction number, unique on this VM."""
         return next(self._transactions)
 
     async def run_alone(self, task: ForwardedStatement) -> Result | None:
-        """Have a statement that stands alone run; None where no home can."""
+        """Run a statement outside a transaction at a home.
+
+        Returns
+        -------
+        Result or None
+            None if no home can run it.
+        """
         self._budget.earn()
         is_write = bool(task.caller.state.writes(task.statement))
-        refused: Refusal | None = None
+        last_refusal: Refusal | None = None
         async for home, channel in self._channels_for(task):
             work = self._work(channel, Action.ALONE, task)
             try:
                 if is_write:
-                    done = await channel.ask(work, self._patience_s(task))
+                    done = await channel.request(work, self._timeout_s(task))
                 else:
-                    done = await self._ask_to_read(channel, work, task)
+                    done = await self._request_read(channel, work, task)
             except HomeLost as lost:
                 self._note_lost(home, channel, task, lost)
                 if not lost.sent:
@@ -103,15 +114,15 @@
                 if is_write:
                     return Refusal(Code.OUTCOME_UNKNOWN, lost.detail)
                 continue
-            self.take(task.caller, home, done)
-            if not may_go_elsewhere(done):
+            self.note_outcome(task.caller, home, done)
+            if not may_retry_elsewhere(done):
                 return done.result
-            refused = self._note_refused(home, done)
+            last_refusal = self._note_refused(home, done)
         if task.arrived_at + task.route.timeout_s <= self._clock.now():
-            return refused or Refusal(Code.TIMED_OUT, "no home answered")
-        return refused
+            return last_refusal or Refusal(Code.TIMED_OUT, "no home answered")
+        return last_refusal
 
-    async def open(
+    async def open_transaction(
         self,
         task: ForwardedStatement,
         begin: Statement,
@@ -123,18 +134,18 @@
         Returns
         -------
         tuple or None
-            The home's connection and what became of the statement; None
-            where no home can take it.
+            The home's connection and the statement's outcome; None if no
+            home can take it.
 
         Raises
         ------
         HomeLost
-            Where a home got the statement and didn't answer.
+            If a home may have received the statement and didn't answer.
         """
         async for home, channel in self._channels_for(task):
             work = self._work(channel, action, task, number, begin)
             try:
-                done = await channel.ask(work, self._patience_s(task))
+                done = await channel.request(work, self._timeout_s(task))
             except HomeLost as lost:
                 self._note_lost(home, channel, task, lost)
                 if lost.sent:
@@ -144,14 +155,14 @@
             except BaseException:
                 self.roll_back(channel, task, number)
                 raise
-            self.take(task.caller, home, done)
-            if not may_go_elsewhere(done):
+            self.note_outcome(task.caller, home, done)
+            if not may_retry_elsewhere(done):
                 return channel, done
             if self._note_refused(home, done) is not None:
                 return channel, done
         return None
 
-    async def go_on(
+    async def continue_transaction(
         self,
         channel: HomeChannel,
         task: ForwardedStatement,
@@ -163,79 +174,81 @@
         Raises
         ------
         HomeLost
-            Where it didn't answer.
+            If the home didn't answer.
         """
         work = self._work(channel, action, task, number)
-        done = await channel.ask(work, self._patience_s(task))
-        self.take(task.caller, None, done)
+        done = await channel.request(work, self._timeout_s(task))
+        self.note_outcome(task.caller, None, done)
         return done
 
     def roll_back(
         self, channel: HomeChannel, task: ForwardedStatement, number: int
     ) -> None:
-        """Let a home undo a transaction; don't wait for it."""
+        """Order a home to roll a transaction back, without waiting."""
         work = self._work(channel, Action.ROLL_BACK, task, number)
         try:
-            channel.tell(work)
+            channel.send_without_reply(work)
         except HomeLost:
-            # Its home undoes it when the connection ends.
+            # The home rolls it back when the connection ends.
             return
 
-    def take(self, caller: Caller, home: VmAddress | None, done: Done) -> None:
-        """Take in what a home tells besides the answer."""
+    def note_outcome(
+        self, caller: Caller, home: VmAddress | None, done: Done
+    ) -> None:
+        """Record a home's trace and commit position for the session."""
         vm = "" if home is None else home.vm
         caller.state.trace.note_elsewhere(vm, done.parts)
         caller.state.note_commit(done.written)
 
     def _note_refused(self, home: VmAddress, done: Done) -> Refusal | None:
-        """Return a home's refusal unless it concerns that home alone."""
-        if done.result.code.name not in _HOME_ALONE:
+        """Return a home's refusal, or None if it concerns that home alone."""
+        if done.result.code.name not in _REFUSED_BY_HOME:
             return done.result
-        self._homes.doubt(home.vm, self._clock.now())
+        self._homes.mark_suspect(home.vm, self._clock.now())
         return None
 
     async def _channels_for(
         self, task: ForwardedStatement
     ) -> AsyncIterator[tuple[VmAddress, HomeChannel]]:
-        """Yield connections to homes, the first choice first."""
+        """Yield connections to the homes to try, the best first."""
         now = self._clock.now()
-        homes = self._homes.order(
+        homes = self._homes.homes_to_try(
             task.route.group, task.caller.organisation, now
         )
         for home in homes[:MAX_HOMES]:
             try:
                 channel = await self._channels.get(home)
             except HomeLost:
-                self._homes.doubt(home.vm, self._clock.now())
+                self._homes.mark_suspect(home.vm, self._clock.now())
                 continue
             yield home, channel
 
-    async def _ask_to_read(
+    async def _request_read(
         self, channel: HomeChannel, work: Work, task: ForwardedStatement
     ) -> Done:
-        """Ask for a read; give up at a home that sends nothing at all."""
-        until = self._clock.now() + self._patience_s(task)
+        """Request a read; fail early if the home sends no message at all."""
+        until = self._clock.now() + self._timeout_s(task)
         future = channel.send(work)
         try:
             return await self._await_read(channel, future, until)
         finally:
-            channel.forget(work)
+            channel.discard(work)
 
     async def _await_read(
         self, channel: HomeChannel, future: Future, until: float
     ) -> Done:
         while True:
             asked_at = self._clock.now()
-            left_s = until - asked_at
-            if left_s <= 0.0:
+            remaining_s = until - asked_at
+            if remaining_s <= 0.0:
                 raise HomeLost("no answer in time", sent=True)
-            await wait({future}, timeout=min(SILENT_S, left_s))
+            await wait({future}, timeout=min(READ_SILENCE_S, remaining_s))
             if future.done():
                 return future.result()
-            # Homes that are overloaded are silent as well: without a bound
-            # each of their reads would be asked for several times.
-            if channel.heard_at < asked_at and self._budget.spend():
-                raise HomeLost("silent", sent=True)
+            # An overloaded home also sends nothing. Without the retry
+            # budget each of its reads would be sent several times.
+            if channel.last_received_at < asked_at and self._budget.spend():
+                raise HomeLost("no message from the home", sent=True)
 
     def _note_lost(
         self,
@@ -252,8 +265,8 @@
             detail=lost.detail,
         )
         now = self._clock.now()
-        self._homes.doubt(home.vm, now)
-        if now - channel.heard_at >= BROKEN_S:
+        self._homes.mark_suspect(home.vm, now)
+        if now - channel.last_received_at >= CHANNEL_SILENCE_S:
             channel.close()
 
     def _work(
@@ -283,16 +296,16 @@
             self._clock.now() - task.arrived_at,
         )
 
-    def _patience_s(self, task: ForwardedStatement) -> float:
+    def _timeout_s(self, task: ForwardedStatement) -> float:
         until = task.arrived_at + task.route.timeout_s
-        return max(0.0, until - self._clock.now()) + MARGIN_S
+        return max(0.0, until - self._clock.now()) + ANSWER_MARGIN_S
 
 
-def may_go_elsewhere(done: Done) -> bool:
-    """Say whether another home may do better, and nothing has run."""
+def may_retry_elsewhere(done: Done) -> bool:
+    """Return whether another home may succeed and nothing has run."""
     result = done.result
     if not isinstance(result, Refusal) or done.parts.may_have_run:
         return False
     if result.code.outcome is not Outcome.NOT_RUN:
         return False
-    return result.code.name in _ELSEWHERE
+    return result.code.name in _RETRYABLE_ELSEWHERE
--- a/redwingpost/node/forwarding/frames.py
+++ b/redwingpost/node/forwarding/frames.py
@@ -1,16 +1,17 @@
-"""Messages on a connection between VMs: a length, then the message."""
+"""Framing of messages between VMs: a length, then the message."""
 
 from asyncio import StreamReader, StreamWriter
 
-#: Bytes of the length before each message.
+#: Size of the length before each message, in bytes.
 _LENGTH_BYTES = 4
 
-#: Bytes of a message at most: the largest statement or row, and the rest.
-MAX_BYTES = 4 * 1024 * 1024
+#: Maximum size of a message in bytes: the largest statement or row, and the
+#: other fields.
+MAX_MESSAGE_BYTES = 4 * 1024 * 1024
 
 
 class FrameError(Exception):
-    """A length that no message has."""
+    """The length before a message is out of range."""
 
 
 async def read_frame(reader: StreamReader) -> bytes:
@@ -19,12 +20,12 @@
     Raises
     ------
     FrameError
-        Where its length can't be right.
+        If its length is 0 or above ``MAX_MESSAGE_BYTES``.
     """
     head = await reader.readexactly(_LENGTH_BYTES)
     length = int.from_bytes(head, "big")
-    if not 0 < length <= MAX_BYTES:
-        raise FrameError(f"{length} bytes")
+    if not 0 < length <= MAX_MESSAGE_BYTES:
+        raise FrameError(f"{length} bytes is not a valid message length")
     return await reader.readexactly(length)
 
 
--- a/redwingpost/node/forwarding/homes.py
+++ b/redwingpost/node/forwarding/homes.py
@@ -1,4 +1,4 @@
-"""Which VMs are the homes of a group, as this VM sees the fleet."""
+"""The homes of each group, chosen from this VM's view of the fleet."""
 
 from typing import NamedTuple
 
@@ -13,21 +13,22 @@
     order_homes,
 )
 
-#: Seconds for which a group's homes are kept: they are asked for with each
-#: operation, and change with the list and with who is heard.
-KEEP_S = 0.2
+#: Seconds for which a group's homes are cached: they are needed for each
+#: operation, and change only with the fleet's list and the VMs whose
+#: heartbeats arrive.
+CACHE_S = 0.2
 
-#: Seconds without a heartbeat after which another VM becomes home in place
-#: of one. Longer than a few heartbeats that are late: each change of home
-#: costs connections. A home that doesn't answer is passed over sooner.
-GONE_S = 3.0
+#: Seconds without a heartbeat after which another VM replaces a home. Longer
+#: than a few delayed heartbeats, since each change of home costs
+#: connections. A home that doesn't answer is skipped sooner.
+HEARTBEAT_TIMEOUT_S = 3.0
 
-#: Seconds for which a home that has left a statement waiting is passed over.
-DOUBT_S = 2.0
+#: Seconds for which a home that didn't answer a statement is skipped.
+SUSPECT_S = 2.0
 
 
 class Homes(NamedTuple):
-    """The homes of a group; ``is_all`` where every VM is one."""
+    """The homes of a group; ``is_all`` if every VM is one."""
 
     addresses: tuple[VmAddress, ...]
     is_all: bool
@@ -42,15 +43,15 @@
 
 
 class _Choice(NamedTuple):
-    """What a group's homes are chosen by."""
+    """The inputs for choosing a group's homes."""
 
     alive: tuple[VmAddress, ...]
     data_centres: frozenset[str]
     slots: int
 
 
-class _Kept(NamedTuple):
-    """Homes, what they were chosen by, and until when they hold."""
+class _CachedHomes(NamedTuple):
+    """Homes, the inputs of their choice, and when the cache expires."""
 
     homes: Homes
     choice: _Choice
@@ -58,14 +59,16 @@
 
 
 class HomeView:
-    """The homes of each group.
+    """Chooses the homes of each group.
 
     Parameters
     ----------
     vm : str
-        This VM.
-    vms, directory : VmTable, Directory
-        The fleet, and the groups' members.
+        This VM's name.
+    vms : VmTable
+        The fleet's VMs.
+    directory : Directory
+        The groups' members.
     """
 
     def __init__(self, vm: str, vms: VmTable, directory: Directory) -> None:
@@ -73,31 +76,31 @@
         self._vms = vms
         self._directory = directory
         self._rules: ServiceRules | None = None
-        self._kept_by_group: dict[str, _Kept] = {}
-        self._doubted_until: dict[str, float] = {}
+        self._cached_by_group: dict[str, _CachedHomes] = {}
+        self._suspect_until: dict[str, float] = {}
         self._alive: tuple[VmAddress, ...] = ()
         self._alive_until = float("-inf")
 
     def take_rules(self, rules: ServiceRules) -> None:
-        """Take in the configuration in force."""
+        """Apply the configuration in force."""
         self._rules = rules
-        self._kept_by_group.clear()
+        self._cached_by_group.clear()
 
     def homes_of(self, group: str, now: float) -> Homes:
         """Return a group's homes at ``now`` (seconds)."""
-        kept = self._kept_by_group.get(group)
-        if kept is None or now >= kept.until:
-            choice = self._choice(group, now)
-            if kept is not None and kept.choice == choice:
-                homes = kept.homes
+        cached = self._cached_by_group.get(group)
+        if cached is None or now >= cached.until:
+            choice = self._choice_for(group, now)
+            if cached is not None and cached.choice == choice:
+                homes = cached.homes
             else:
                 homes = self._choose(group, choice)
-            kept = _Kept(homes, choice, now + KEEP_S)
-            self._kept_by_group[group] = kept
-        return kept.homes
+            cached = _CachedHomes(homes, choice, now + CACHE_S)
+            self._cached_by_group[group] = cached
+        return cached.homes
 
     def is_home(self, group: str, now: float) -> bool:
-        """Say whether this VM is a home of a group."""
+        """Return whether this VM is a home of a group."""
         homes = self.homes_of(group, now)
         return homes.is_all or self._vm in homes.names
 
@@ -114,12 +117,12 @@
             return self._vms.count()
         return len(homes.addresses)
 
-    def order(
+    def homes_to_try(
         self, group: str, organisation: str, now: float
     ) -> tuple[VmAddress, ...]:
-        """Return the homes to try for an organisation, the first first.
+        """Return the homes to try for an organisation, the best first.
 
-        Empty where this VM runs the statement itself.
+        Empty if this VM runs the statement itself.
         """
         homes = self.homes_of(group, now)
         if homes.is_all:
@@ -131,14 +134,14 @@
         return tuple(
             address
             for address in ranked
-            if self._doubted_until.get(address.vm, 0.0) <= now
+            if self._suspect_until.get(address.vm, 0.0) <= now
         )
 
-    def doubt(self, vm: str, now: float) -> None:
-        """Pass a home over for a while: it left a statement waiting."""
-        self._doubted_until[vm] = now + DOUBT_S
+    def mark_suspect(self, vm: str, now: float) -> None:
+        """Skip a home for ``SUSPECT_S``, as it didn't answer or refused."""
+        self._suspect_until[vm] = now + SUSPECT_S
 
-    def _choice(self, group: str, now: float) -> _Choice:
+    def _choice_for(self, group: str, now: float) -> _Choice:
         members = self._directory.members_of(group)
         slots = (entry.slots or ASSUMED_SLOTS for entry in members)
         return _Choice(
@@ -150,8 +153,8 @@
     def _alive_vms(self, now: float) -> tuple[VmAddress, ...]:
         """Return the VMs that may be homes, the same for all groups."""
         if now >= self._alive_until:
-            self._alive = self._vms.alive_addresses(now, GONE_S)
-            self._alive_until = now + KEEP_S / 2.0
+            self._alive = self._vms.alive_addresses(now, HEARTBEAT_TIMEOUT_S)
+            self._alive_until = now + CACHE_S / 2.0
         return self._alive
 
     def _choose(self, group: str, choice: _Choice) -> Homes:
--- a/redwingpost/node/forwarding/messages.py
+++ b/redwingpost/node/forwarding/messages.py
@@ -1,4 +1,4 @@
-"""What VMs tell each other about a forwarded statement."""
+"""Messages between VMs about forwarded statements."""
 
 from enum import Enum
 from typing import NamedTuple
@@ -12,9 +12,9 @@
 
 
 class Action(Enum):
-    """What a home is to do.
+    """What a home does with a statement.
 
-    ``ALONE`` runs a statement that stands alone; the others concern one
+    ``ALONE`` runs a statement outside a transaction; the others concern one
     transaction, which its first statement begins.
     """
 
@@ -25,13 +25,14 @@
 
 
 class Work(NamedTuple):
-    """A statement for a home.
-
-    ``number`` tells the messages of one connection apart, ``transaction``
-    its transactions (0 for none). ``shape`` is what the statement's
-    prepared name runs. ``begin`` comes with the first statement of a
-    transaction. ``written`` is the session's last acknowledged commit,
-    ``waited_s`` for how long the statement has been at the sender.
+    """A statement for a home to run.
+
+    ``number`` identifies a message on its connection, ``transaction`` a
+    transaction of the sender (0 for none). ``shape`` is the prepared
+    statement that the statement executes. ``begin`` is sent with the first
+    statement of a transaction. ``written`` is the position of the session's
+    last acknowledged commit, ``waited_s`` the time since the sender
+    received the statement (seconds).
     """
 
     number: int
@@ -49,15 +50,15 @@
 
 
 class Busy(NamedTuple):
-    """A home lives, and so many statements are under way there."""
+    """Sign of life of a home, with its number of running statements."""
 
     statements: int
 
 
 class Done(NamedTuple):
-    """What became of a statement.
+    """Outcome of a statement.
 
-    ``is_over``: nothing of its transaction is left at a member.
+    ``is_over`` tells whether its transaction has ended.
     """
 
     number: int
--- a/redwingpost/node/forwarding/peer.py
+++ b/redwingpost/node/forwarding/peer.py
@@ -1,4 +1,4 @@
-"""What one other VM has under way at a home of its callers' groups."""
+"""Statements and transactions that this home runs for one other VM."""
 
 from asyncio import (
     CancelledError,
@@ -28,13 +28,13 @@
 from redwingpost.statements.session import SessionState
 from redwingpost.wire.work import pack_busy, pack_done
 
-#: Seconds between words to a VM whose statements are under way here; it
-#: asks elsewhere after three that don't come.
-BUSY_S = 0.1
+#: Seconds between busy messages to a VM whose statements run here. After
+#: ``forwarder.READ_SILENCE_S`` without any it retries reads at another home.
+BUSY_INTERVAL_S = 0.1
 
 
-class HomeParts(NamedTuple):
-    """What a home runs statements with."""
+class HomeDependencies(NamedTuple):
+    """What a home uses to run statements."""
 
     group_by_name: dict[str, GroupClient]
     reads: ReadRunner
@@ -43,7 +43,7 @@
     is_stopping: Callable[[], bool]
 
 
-class _Held(NamedTuple):
+class _HeldTransaction(NamedTuple):
     """A transaction of another VM's caller, and its session's state."""
 
     transaction: Transaction
@@ -52,20 +52,22 @@
 
 Handler = Callable[["Peer", Work], Awaitable[Done]]
 
-#: What a home does, by the action's value.
+#: Handlers by the value of the action.
 HANDLERS: Registry[Handler] = Registry("home action")
 
 _NO_TRANSACTION = Refusal(
-    Code.TRANSACTION_ROLLED_BACK, "the home doesn't hold it", 50
+    Code.TRANSACTION_ROLLED_BACK, "the home has no such transaction", 50
 )
 
 
 class Peer:
-    """What one other VM has under way here."""
+    """Connection from one other VM, with its statements and transactions."""
 
-    def __init__(self, writer: StreamWriter, parts: HomeParts) -> None:
-        self.parts = parts
-        self.held_by_number: dict[int, _Held] = {}
+    def __init__(
+        self, writer: StreamWriter, dependencies: HomeDependencies
+    ) -> None:
+        self.dependencies = dependencies
+        self.held_by_number: dict[int, _HeldTransaction] = {}
         self._writer = writer
         self._task_by_number: dict[int, Task] = {}
         self._task_by_transaction: dict[int, Task] = {}
@@ -76,11 +78,13 @@
         """Whether a statement runs or a transaction is open."""
         return bool(self._task_by_number or self.held_by_number)
 
-    def take(self, work: Work) -> None:
-        """Begin with a statement; don't wait."""
+    def start(self, work: Work) -> None:
+        """Start to run a statement in a task of its own."""
         if self._busy_timer is None:
             loop = get_running_loop()
-            self._busy_timer = loop.call_later(BUSY_S, self._tell_busy)
+            self._busy_timer = loop.call_later(
+                BUSY_INTERVAL_S, self._send_busy
+            )
         task = create_task(self._run(work))
         self._task_by_number[work.number] = task
         task.add_done_callback(
@@ -89,8 +93,8 @@
         if work.transaction and work.action is not Action.ROLL_BACK:
             self._task_by_transaction[work.transaction] = task
 
-    async def end(self) -> None:
-        """Give up whatever runs and roll back what is open."""
+    async def close(self) -> None:
+        """Cancel running statements; roll back open transactions."""
         if self._busy_timer is not None:
             self._busy_timer.cancel()
         tasks = tuple(self._task_by_number.values())
@@ -102,25 +106,25 @@
         await gather(*(item.transaction.roll_back() for item in held))
         self._writer.close()
 
-    def _tell_busy(self) -> None:
-        """Tell the other VM that this one lives, while it waits."""
+    def _send_busy(self) -> None:
+        """Send a busy message to the waiting VM, as a sign of life."""
         self._busy_timer = None
         if not self._task_by_number or self._writer.is_closing():
             return
         write_frame(self._writer, pack_busy(Busy(len(self._task_by_number))))
         loop = get_running_loop()
-        self._busy_timer = loop.call_later(BUSY_S, self._tell_busy)
+        self._busy_timer = loop.call_later(BUSY_INTERVAL_S, self._send_busy)
 
-    async def interrupt(self, transaction: int) -> None:
-        """Stop what runs in a transaction."""
+    async def cancel_running(self, transaction: int) -> None:
+        """Cancel the running statement of a transaction."""
         task = self._task_by_transaction.get(transaction)
         if task is None or task.done():
             return
         task.cancel()
         await gather(task, return_exceptions=True)
 
-    def forget(self, transaction: int) -> None:
-        """Drop a transaction that is over."""
+    def discard(self, transaction: int) -> None:
+        """Remove a transaction that is over."""
         self.held_by_number.pop(transaction, None)
         self._task_by_transaction.pop(transaction, None)
 
@@ -135,7 +139,7 @@
                 request=work.statement.request,
                 error=f"{type(error).__name__}: {error}",
             )
-            self.forget(work.transaction)
+            self.discard(work.transaction)
             done = _done(
                 work, Refusal(Code.OUTCOME_UNKNOWN, "failed at its home")
             )
@@ -143,14 +147,14 @@
             write_frame(self._writer, pack_done(done))
 
 
-def _state_of(work: Work) -> SessionState:
+def _make_state(work: Work) -> SessionState:
     state = SessionState()
-    _refresh(state, work)
+    _update_state(state, work)
     return state
 
 
-def _refresh(state: SessionState, work: Work) -> None:
-    """Give a session's state what came with its newest statement."""
+def _update_state(state: SessionState, work: Work) -> None:
+    """Update a session's state from its newest statement's message."""
     state.values_by_name = work.values_by_name
     if work.shape is not None:
         state.prepare(work.statement.name, work.shape)
@@ -171,32 +175,34 @@
     return Done(work.number, result, state.written, is_over, parts)
 
 
-def _refuse_new(peer: Peer, work: Work) -> Refusal | None:
-    """Say why nothing new can begin here."""
-    if peer.parts.is_stopping():
+def _refuse_if_unready(peer: Peer, work: Work) -> Refusal | None:
+    """Return why no new statement can begin here, or None."""
+    if peer.dependencies.is_stopping():
         return Refusal(Code.DRAINING)
-    if work.route.group not in peer.parts.group_by_name:
+    if work.route.group not in peer.dependencies.group_by_name:
         return Refusal(Code.STARTING, "no member is listed")
     return None
 
 
 @HANDLERS.register(Action.ALONE.value)
 async def _run_alone(peer: Peer, work: Work) -> Done:
-    refused = _refuse_new(peer, work)
+    refused = _refuse_if_unready(peer, work)
     if refused is not None:
         return _done(work, refused)
-    parts = peer.parts
-    state = _state_of(work)
-    group = parts.group_by_name[work.route.group]
+    dependencies = peer.dependencies
+    state = _make_state(work)
+    group = dependencies.group_by_name[work.route.group]
     group.note_use()
     caller = Caller(work.organisation, state, work.route.priority)
-    # It arrived at the other VM at this moment or before it.
-    arrived_at = parts.clock.now() - work.waited_s
+    # The other VM received it at this time or earlier.
+    arrived_at = dependencies.clock.now() - work.waited_s
     request = ReadRequest(work.statement, caller, work.route, arrived_at)
     if state.writes(work.statement):
-        result = await parts.writes.run(group, request, work.sync_replicas)
+        result = await dependencies.writes.run(
+            group, request, work.sync_replicas
+        )
     else:
-        result = await parts.reads.run(group, request)
+        result = await dependencies.reads.run(group, request)
     return _done(work, result, state)
 
 
@@ -216,36 +222,38 @@
 
 @HANDLERS.register(Action.ROLL_BACK.value)
 async def _roll_back(peer: Peer, work: Work) -> Done:
-    await peer.interrupt(work.transaction)
+    await peer.cancel_running(work.transaction)
     held = peer.held_by_number.get(work.transaction)
-    peer.forget(work.transaction)
+    peer.discard(work.transaction)
     if held is not None and not held.transaction.is_over:
         await held.transaction.roll_back()
     return _done(work, _NO_TRANSACTION)
 
 
 async def _in_transaction(
-    peer: Peer, work: Work, run: Callable[[_Held], Awaitable[Result]]
+    peer: Peer,
+    work: Work,
+    run: Callable[[_HeldTransaction], Awaitable[Result]],
 ) -> Done:
     held = peer.held_by_number.get(work.transaction)
     if held is None and work.begin is None:
         return _done(work, _NO_TRANSACTION)
     if held is None:
-        refused = _refuse_new(peer, work)
+        refused = _refuse_if_unready(peer, work)
         if refused is not None:
             return _done(work, refused)
         held = _begin(peer, work)
-    _refresh(held.state, work)
+    _update_state(held.state, work)
     result = await run(held)
     is_over = held.transaction.is_over
     if is_over:
-        peer.forget(work.transaction)
+        peer.discard(work.transaction)
     return _done(work, result, held.state, is_over)
 
 
-def _begin(peer: Peer, work: Work) -> _Held:
+def _begin(peer: Peer, work: Work) -> _HeldTransaction:
     state = SessionState()
-    group = peer.parts.group_by_name[work.route.group]
+    group = peer.dependencies.group_by_name[work.route.group]
     group.note_use()
     transaction = Transaction(
         work.begin,
@@ -253,8 +261,8 @@
         work.route,
         group,
         work.sync_replicas,
-        peer.parts.clock,
+        peer.dependencies.clock,
     )
-    held = _Held(transaction, state)
+    held = _HeldTransaction(transaction, state)
     peer.held_by_number[work.transaction] = held
     return held
--- a/redwingpost/node/forwarding/server.py
+++ b/redwingpost/node/forwarding/server.py
@@ -1,4 +1,4 @@
-"""Listen for the VMs whose statements a home runs."""
+"""Server on a home for the statements of other VMs."""
 
 from asyncio import (
     IncompleteReadError,
@@ -15,21 +15,21 @@
 from redwingpost.adapters.http_client import tune_socket
 from redwingpost.node.forwarding.frames import FrameError, read_frame
 from redwingpost.node.forwarding.messages import Work
-from redwingpost.node.forwarding.peer import HomeParts, Peer
+from redwingpost.node.forwarding.peer import HomeDependencies, Peer
 from redwingpost.observability.journal import log_event
 from redwingpost.wire.work import MessageError, unpack
 
 
 class HomeServer(Service):
-    """Listens for the other VMs."""
+    """Accepts connections from other VMs."""
 
     def __init__(
-        self, ip: str, port: int, parts: HomeParts, **kwargs: Any
+        self, ip: str, port: int, dependencies: HomeDependencies, **kwargs: Any
     ) -> None:
         super().__init__(**kwargs)
         self._ip = ip
         self._port = port
-        self._parts = parts
+        self._dependencies = dependencies
         self._server: Server | None = None
         self._peers: set[Peer] = set()
 
@@ -40,7 +40,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing runs here for other VMs."""
+        """Whether nothing runs or is open here for other VMs."""
         return not any(peer.is_busy for peer in self._peers)
 
     async def on_start(self) -> None:
@@ -48,26 +48,26 @@
         self._server = await start_server(self._serve, self._ip, self._port)
 
     async def on_stop(self) -> None:
-        """Stop listening and give up what is held."""
+        """Stop listening; close all connections from other VMs."""
         if self._server is not None:
             self._server.close()
-        await gather(*(peer.end() for peer in tuple(self._peers)))
+        await gather(*(peer.close() for peer in tuple(self._peers)))
 
     async def _serve(self, reader: StreamReader, writer: StreamWriter) -> None:
         tune_socket(writer)
-        peer = Peer(writer, self._parts)
+        peer = Peer(writer, self._dependencies)
         self._peers.add(peer)
         try:
             while True:
                 work = unpack(await read_frame(reader))
                 if not isinstance(work, Work):
-                    raise MessageError("no statement")
-                peer.take(work)
+                    raise MessageError("expected a statement")
+                peer.start(work)
         except (OSError, IncompleteReadError):
-            # The VM went away; what it held is given up below.
+            # The VM is gone. Its transactions are rolled back below.
             pass
         except (FrameError, MessageError) as error:
             log_event("forwarded-unreadable", detail=str(error))
         finally:
             self._peers.discard(peer)
-            await peer.end()
+            await peer.close()
--- a/redwingpost/node/forwarding/transaction.py
+++ b/redwingpost/node/forwarding/transaction.py
@@ -1,4 +1,4 @@
-"""A caller's transaction that a home holds for this VM."""
+"""Transactions of this VM's callers that run at a home."""
 
 from collections.abc import Callable
 
@@ -16,10 +16,9 @@
 
 
 class ForwardedTransaction:
-    """An open transaction of one session, at a home or here.
+    """An open transaction of one session, at a home or on this VM.
 
-    ``run_here`` makes a transaction of this VM's own, for the case that no
-    home takes it.
+    ``begin_here`` begins a transaction on this VM if no home takes it.
     """
 
     def __init__(
@@ -29,7 +28,7 @@
         route: RouteRule,
         sync_replicas: int,
         forwarder: Forwarder,
-        run_here: Callable[[], Transaction],
+        begin_here: Callable[[], Transaction],
         clock: Clock,
     ) -> None:
         self._begin = begin
@@ -37,20 +36,20 @@
         self._route = route
         self._sync_replicas = sync_replicas
         self._forwarder = forwarder
-        self._run_here = run_here
+        self._begin_here = begin_here
         self._clock = clock
         self._number = forwarder.next_transaction()
         self._channel: HomeChannel | None = None
-        self._here: Transaction | None = None
+        self._local: Transaction | None = None
         self._last: ForwardedStatement | None = None
         self._has_written = False
         self._is_over = False
 
     @property
     def is_over(self) -> bool:
-        """Whether nothing of it is left at a member."""
-        if self._here is not None:
-            return self._here.is_over
+        """Whether the transaction has ended."""
+        if self._local is not None:
+            return self._local.is_over
         return self._is_over
 
     async def run(self, statement: Statement) -> Result:
@@ -61,20 +60,20 @@
         return result
 
     async def commit(self, statement: Statement) -> Result:
-        """Commit; the transaction is over whatever comes of it."""
+        """Commit; the transaction is over whatever the result."""
         return await self._run(statement, Action.COMMIT)
 
     async def roll_back(self) -> None:
-        """Undo what was done."""
-        if self._here is not None:
-            await self._here.roll_back()
+        """Roll the transaction back."""
+        if self._local is not None:
+            await self._local.roll_back()
         elif self._channel is not None and not self._is_over:
             self._forwarder.roll_back(self._channel, self._last, self._number)
         self._is_over = True
 
     async def _run(self, statement: Statement, action: Action) -> Result:
-        if self._here is not None:
-            return await self._run_at(self._here, statement, action)
+        if self._local is not None:
+            return await self._run_locally(self._local, statement, action)
         task = self._last = ForwardedStatement(
             statement,
             self._caller,
@@ -85,34 +84,34 @@
         try:
             if self._channel is None:
                 return await self._open(task, action)
-            done = await self._forwarder.go_on(
+            done = await self._forwarder.continue_transaction(
                 self._channel, task, action, self._number
             )
         except HomeLost as lost:
-            return self._lost(action, lost)
+            return self._refuse_lost(action, lost)
         self._is_over = done.is_over
         return done.result
 
     async def _open(self, task: ForwardedStatement, action: Action) -> Result:
-        opened = await self._forwarder.open(
+        opened = await self._forwarder.open_transaction(
             task, self._begin, action, self._number
         )
         if opened is None:
-            self._here = self._run_here()
-            return await self._run_at(self._here, task.statement, action)
+            self._local = self._begin_here()
+            return await self._run_locally(self._local, task.statement, action)
         self._channel, done = opened
         self._is_over = done.is_over
         return done.result
 
-    async def _run_at(
+    async def _run_locally(
         self, transaction: Transaction, statement: Statement, action: Action
     ) -> Result:
         if action is Action.COMMIT:
             return await transaction.commit(statement)
         return await transaction.run(statement)
 
-    def _lost(self, action: Action, lost: HomeLost) -> Refusal:
-        """Say what holds when the home that holds it doesn't answer."""
+    def _refuse_lost(self, action: Action, lost: HomeLost) -> Refusal:
+        """Return the refusal for a transaction whose home doesn't answer."""
         if self._channel is not None and self._last is not None:
             self._forwarder.roll_back(self._channel, self._last, self._number)
         self._is_over = True
--- a/redwingpost/node/service.py
+++ b/redwingpost/node/service.py
@@ -27,7 +27,7 @@
 from redwingpost.node.forwarding.channel import Channels
 from redwingpost.node.forwarding.forwarder import Forwarder
 from redwingpost.node.forwarding.homes import HomeView
-from redwingpost.node.forwarding.peer import HomeParts
+from redwingpost.node.forwarding.peer import HomeDependencies
 from redwingpost.node.forwarding.server import HomeServer
 from redwingpost.node.group import DRAIN_PART, GroupClient
 from redwingpost.node.metrics import NodeMetrics
@@ -161,7 +161,7 @@
         self._home_server = HomeServer(
             settings.ip,
             settings.heartbeat_port,
-            HomeParts(
+            HomeDependencies(
                 self.group_by_name,
                 self._services.reads,
                 self._services.writes,
--- a/redwingpost/node/tests/test_forwarding.py
+++ b/redwingpost/node/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Statements that a home runs for another VM, over real connections."""
+"""Forwarding of statements to homes, over real connections."""
 
 from asyncio import Event, create_task, sleep
 from collections.abc import Coroutine
@@ -20,7 +20,7 @@
 from redwingpost.membership.vm_table import VmTable
 from redwingpost.node.forwarding.channel import Channels
 from redwingpost.node.forwarding.forwarder import Forwarder, ForwardedStatement
-from redwingpost.node.forwarding.peer import HomeParts
+from redwingpost.node.forwarding.peer import HomeDependencies
 from redwingpost.node.forwarding.server import HomeServer
 from redwingpost.node.forwarding.transaction import ForwardedTransaction
 from redwingpost.node.group import GroupClient
@@ -51,14 +51,14 @@
 
 
 class GroupOfThree:
-    """Opens links to members that answer at once, or wait."""
+    """Opens links to members that answer once ``may_answer`` is set."""
 
     def __init__(self) -> None:
         self.ran: list[str] = []
         self.rolled_back = 0
         self.shapes: list[Shape] = []
-        self.holds = Event()
-        self.holds.set()
+        self.may_answer = Event()
+        self.may_answer.set()
 
     async def open(
         self, entry: MemberEntry, organisation: str, timeout_s: float
@@ -77,7 +77,7 @@
             self.ran.append(statement.request)
             if first is not None:
                 self.shapes.append(first.shape)
-            await self.holds.wait()
+            await self.may_answer.wait()
             if not link.is_open:
                 raise LinkLost("closed", sent=True)
             is_open = statement.kind is not StatementKind.COMMIT
@@ -102,23 +102,23 @@
 
 
 class _Homes:
-    """Names the homes to try, and those that were doubted."""
+    """Returns the homes to try and records the suspected ones."""
 
     def __init__(self, addresses: tuple[VmAddress, ...]) -> None:
         self.addresses = addresses
-        self.doubted: list[str] = []
+        self.suspected: list[str] = []
 
-    def order(self, group, organisation, now) -> tuple[VmAddress, ...]:
-        """Return all but the doubted."""
-        return tuple(a for a in self.addresses if a.vm not in self.doubted)
+    def homes_to_try(self, group, organisation, now) -> tuple[VmAddress, ...]:
+        """Return all homes that are not suspected."""
+        return tuple(a for a in self.addresses if a.vm not in self.suspected)
 
-    def doubt(self, vm: str, now: float) -> None:
-        """Note that a home is doubted."""
-        self.doubted.append(vm)
+    def mark_suspect(self, vm: str, now: float) -> None:
+        """Record a suspected home."""
+        self.suspected.append(vm)
 
 
 class ForwardingTest(IsolatedAsyncioTestCase):
-    """Two homes of a group and a VM that asks them."""
+    """Two homes of a group and a VM that forwards statements to them."""
 
     async def asyncSetUp(self) -> None:
         self.clock = MonotonicClock()
@@ -156,14 +156,14 @@
         )
         group.follow_directory(32, 1)
         await group.run_round()
-        parts = HomeParts(
+        dependencies = HomeDependencies(
             {"g": group},
             ReadRunner(self.clock),
             WriteRunner(self.clock),
             self.clock,
             lambda: number in self.stopping,
         )
-        server = HomeServer(_IP, 0, parts)
+        server = HomeServer(_IP, 0, dependencies)
         await server.start()
         self.addAsyncCleanup(server.stop)
         return server
@@ -174,14 +174,14 @@
             statement, caller, _ROUTE, 1, self.clock.now()
         )
 
-    def _transaction(self, run_here=None) -> ForwardedTransaction:
+    def _transaction(self, begin_here=None) -> ForwardedTransaction:
         return ForwardedTransaction(
             _BEGIN,
             Caller("parish", self.state, 1),
             _ROUTE,
             1,
             self.forwarder,
-            run_here,
+            begin_here,
             self.clock,
         )
 
@@ -225,15 +225,15 @@
         self.assertIsInstance(result, Answer)
         transaction = self._transaction()
         self.assertIsInstance(await transaction.run(_read("r")), Answer)
-        self.assertEqual(["home-0"], self.homes.doubted)
+        self.assertEqual(["home-0"], self.homes.suspected)
         self.assertEqual(["w", "b", "r"], self.members.ran)
 
-    async def test_what_runs_where_no_home_answers(self) -> None:
+    async def test_no_home_answers(self) -> None:
         for server in self.servers:
             await server.stop()
         result = await self.forwarder.run_alone(self._task(_read("r")))
         self.assertIsNone(result)
-        self.assertEqual(["home-0", "home-1"], self.homes.doubted)
+        self.assertEqual(["home-0", "home-1"], self.homes.suspected)
 
     async def test_a_read_whose_home_is_lost_runs_at_another(self) -> None:
         task = self._task(_read("r"))
@@ -266,28 +266,28 @@
         self.assertEqual(Code.COMMIT_UNKNOWN.name, result.code.name)
         self.assertTrue(transaction.is_over)
 
-    async def test_a_home_at_work_isn_t_silent(self) -> None:
+    async def test_a_busy_home_is_not_silent(self) -> None:
         """Guards against reads sent twice while a member is slow."""
-        self.members.holds.clear()
-        asked = create_task(self.forwarder.run_alone(self._task(_read("r"))))
+        self.members.may_answer.clear()
+        pending = create_task(self.forwarder.run_alone(self._task(_read("r"))))
         await sleep(0.7)
-        self.members.holds.set()
-        self.assertIsInstance(await asked, Answer)
-        self.assertEqual([], self.homes.doubted)
+        self.members.may_answer.set()
+        self.assertIsInstance(await pending, Answer)
+        self.assertEqual([], self.homes.suspected)
 
-    async def _lose_home(self, asking: Coroutine) -> Result:
-        """Stop the first home while a member is at work on a statement."""
-        self.members.holds.clear()
+    async def _lose_home(self, request: Coroutine) -> Result:
+        """Stop the first home while a member runs a statement."""
+        self.members.may_answer.clear()
         ran = len(self.members.ran)
-        asked = create_task(asking)
+        pending = create_task(request)
         await self._until(lambda: len(self.members.ran) > ran)
         await self.servers[0].stop()
-        self.members.holds.set()
-        return await asked
+        self.members.may_answer.set()
+        return await pending
 
-    async def _until(self, is_so) -> None:
+    async def _until(self, condition) -> None:
         for _ in range(500):
-            if is_so():
+            if condition():
                 return
             await sleep(0.01)
-        self.fail("it never came about")
+        self.fail("the condition was not met in time")
--- a/redwingpost/node/tests/test_homes.py
+++ b/redwingpost/node/tests/test_homes.py
@@ -1,4 +1,4 @@
-"""Which VMs are homes of a group, and what each of them does then."""
+"""The homes of a group as chosen by the VMs of a fleet."""
 
 from unittest import TestCase
 
@@ -11,9 +11,9 @@
 from redwingpost.membership.heartbeat import Heartbeat, VmAddress
 from redwingpost.membership.vm_table import VmTable
 from redwingpost.node.forwarding.homes import (
-    DOUBT_S,
-    GONE_S,
-    KEEP_S,
+    CACHE_S,
+    HEARTBEAT_TIMEOUT_S,
+    SUSPECT_S,
     HomeView,
 )
 from redwingpost.ports.database import MemberEntry
@@ -30,7 +30,7 @@
 
 
 class _Fleet:
-    """The views of all VMs of a fleet that hear each other."""
+    """The views of all VMs of a fleet that exchange heartbeats."""
 
     def __init__(self, vms: int) -> None:
         self.addresses = _addresses(vms)
@@ -57,17 +57,21 @@
             self.table_by_vm[address.vm] = table
             self.view_by_vm[address.vm] = view
 
-    def beat(self, now: float, silent: frozenset[str] = frozenset()) -> None:
-        """Let all VMs but some hear each other."""
+    def exchange_heartbeats(
+        self, now: float, silent: frozenset[str] = frozenset()
+    ) -> None:
+        """Deliver the heartbeats of all VMs except the silent ones."""
         for address in self.addresses:
             if address.vm in silent:
                 continue
-            told = Heartbeat(address.vm, 1, address.ip, 1, {}, 1, None, ())
+            heartbeat = Heartbeat(
+                address.vm, 1, address.ip, 1, {}, 1, None, ()
+            )
             for table in self.table_by_vm.values():
-                table.note(told, now)
+                table.note(heartbeat, now)
 
     def homes(self, now: float) -> frozenset[str]:
-        """Return the VMs that take themselves for a home."""
+        """Return the VMs that consider themselves a home."""
         return frozenset(
             vm
             for vm, view in self.view_by_vm.items()
@@ -93,15 +97,15 @@
         fleet = _Fleet(MIN_HOMES)
         self.assertEqual(MIN_HOMES, len(fleet.homes(1.0)))
         for view in fleet.view_by_vm.values():
-            self.assertEqual((), view.order("g", "o1", 1.0))
+            self.assertEqual((), view.homes_to_try("g", "o1", 1.0))
 
     def test_all_vms_agree_on_the_homes(self) -> None:
-        """Guards against a fleet in which everybody connects to members."""
+        """Guards against a fleet in which every VM connects to members."""
         fleet = _Fleet(62)
         for name, now in (("just started", 0.1), ("heard", 2.0)):
             with self.subTest(name):
                 if now > 1.0:
-                    fleet.beat(now)
+                    fleet.exchange_heartbeats(now)
                 homes = fleet.homes(now)
                 self.assertEqual(MIN_HOMES, len(homes))
                 for view in fleet.view_by_vm.values():
@@ -111,7 +115,8 @@
         fleet = _Fleet(62)
         others = set(fleet.view_by_vm) - fleet.homes(1.0)
         first = {
-            fleet.view_by_vm[vm].order("g", "o1", 1.0)[0].vm for vm in others
+            fleet.view_by_vm[vm].homes_to_try("g", "o1", 1.0)[0].vm
+            for vm in others
         }
         self.assertEqual(1, len(first))
 
@@ -119,17 +124,19 @@
         fleet = _Fleet(62)
         gone = frozenset(list(fleet.homes(0.1))[:3])
         now = 0.0
-        while now < GONE_S + 2 * KEEP_S:
+        while now < HEARTBEAT_TIMEOUT_S + 2 * CACHE_S:
             now += 0.1
-            fleet.beat(now, silent=gone)
+            fleet.exchange_heartbeats(now, silent=gone)
         left = fleet.homes(now) - gone
         self.assertEqual(MIN_HOMES, len(left))
 
-    def test_a_doubtful_home_is_passed_over_for_a_while(self) -> None:
+    def test_a_suspected_home_is_skipped_for_a_while(self) -> None:
         fleet = _Fleet(62)
         vm = next(iter(set(fleet.view_by_vm) - fleet.homes(1.0)))
         view = fleet.view_by_vm[vm]
-        first, second = view.order("g", "o1", 1.0)[:2]
-        view.doubt(first.vm, 1.0)
-        self.assertEqual(second, view.order("g", "o1", 1.1)[0])
-        self.assertEqual(first, view.order("g", "o1", 1.0 + DOUBT_S)[0])
+        first, second = view.homes_to_try("g", "o1", 1.0)[:2]
+        view.mark_suspect(first.vm, 1.0)
+        self.assertEqual(second, view.homes_to_try("g", "o1", 1.1)[0])
+        self.assertEqual(
+            first, view.homes_to_try("g", "o1", 1.0 + SUSPECT_S)[0]
+        )
