--- a/redwingpost/verify/__init__.py
+++ b/redwingpost/verify/__init__.py
@@ -1,8 +1,9 @@
 """Model checking of the write and promotion protocol.
 
-``search`` visits every state of ``Model`` within small bounds and looks
-for one that breaks a promise; the tests also walk larger bounds at
-random. The decision modules it runs are those of production.
+``search`` visits every state of ``Model`` within small bounds and looks for
+one that violates an invariant; the tests also take random walks within
+larger bounds. The decision modules that the model runs are those of
+production.
 """
 
 from redwingpost.verify.member import Rules
--- a/redwingpost/verify/member.py
+++ b/redwingpost/verify/member.py
@@ -1,8 +1,8 @@
-"""A group's member as the target port describes it, as a value.
+"""A group's member as an immutable value that follows the target port.
 
-The rules are those of ``docs/design/target-port.md``; the flags of
-``Rules`` leave one out at a time, so that the model checker can show
-that each is needed.
+The rules are those of ``docs/design/target-port.md``. Each flag of
+``Rules`` disables one of them, so that the model checker can show that it
+is needed.
 """
 
 from typing import NamedTuple
@@ -11,7 +11,7 @@
 
 
 class Rules(NamedTuple):
-    """Which rules hold; each False makes a broken variant."""
+    """Rules in force; each one that is False makes a broken variant."""
 
     confirm: bool = True
     confirm_term: bool = True
@@ -31,7 +31,7 @@
 
 
 class Member(NamedTuple):
-    """One member's lasting state; a crash loses none of it."""
+    """One member's durable state, which survives a crash."""
 
     name: str
     log: tuple[Entry, ...]
@@ -56,19 +56,19 @@
 
 
 def claim(member: Member, term: int, claimant: str) -> Member:
-    """Return the member after ``CLAIM``; unchanged if refused."""
+    """Return the member after ``CLAIM``, unchanged if it refuses."""
     if term <= member.promised_term:
         return member
     return member._replace(promised_term=term, claimant=claimant)
 
 
 def claim_accepted(member: Member, term: int, claimant: str) -> bool:
-    """Say whether the member now stands by that claim."""
+    """Return whether the member has accepted that claim."""
     return member.promised_term == term and member.claimant == claimant
 
 
 def promote(member: Member, term: int, claimant: str) -> Member:
-    """Return the member after ``PROMOTE``; unchanged if refused."""
+    """Return the member after ``PROMOTE``, unchanged if it refuses."""
     if not claim_accepted(member, term, claimant):
         return member
     if member.primary and member.own_term == term:
@@ -78,7 +78,7 @@
 
 
 def follow(member: Member, term: int, primary: str) -> Member:
-    """Return the member after ``FOLLOW``; unchanged if refused."""
+    """Return the member after ``FOLLOW``, unchanged if it refuses."""
     if term < member.promised_term or primary == member.name:
         return member
     claimant = member.claimant if term == member.promised_term else ""
@@ -97,14 +97,14 @@
 
 
 def takes_writes(member: Member, rules: Rules) -> bool:
-    """Say whether the member commits a write now."""
+    """Return whether the member commits a write now."""
     if not member.primary:
         return False
     return not rules.fence or member.promised_term == member.own_term
 
 
 def commit(member: Member, write: str, keyed: bool, rules: Rules) -> Member:
-    """Return the member after a write; a recorded key changes nothing."""
+    """Return the member after a write, unchanged if its key is recorded."""
     if keyed and rules.dedupe and write in member.writes():
         return member
     entry = Entry(_leading_term(member), write)
@@ -118,8 +118,8 @@
 def pull(member: Member, primary: Member) -> Member:
     """Return the follower after one exchange with its primary.
 
-    What the primary doesn't hold is set aside first; then one entry
-    is taken.
+    Entries that the primary doesn't hold are removed first; later exchanges
+    copy one entry each.
     """
     if member.follows != primary.name or not primary.primary:
         return member
--- a/redwingpost/verify/model.py
+++ b/redwingpost/verify/model.py
@@ -1,21 +1,21 @@
-"""The write and promotion protocol as a state machine to be searched.
-
-Proposers run ``redwingpost.promotion.step``, writers judge replicas by
-``Acknowledgements`` and failures by ``next_step``: the modules that run
-in production, not copies. What is modelled is what surrounds them.
-
-The network may do anything: a request once sent may arrive at any later
-time, or never, also after its sender gave up, crashed or was replaced;
-claims, promotions and orders to follow may arrive twice (a statement of
-a caller can't: it travels on one TCP connection). Any process may stop
-for any time, so pauses, crashes with a restart, cuts and delays are all
-interleavings of the same steps. A proposer that crashes forgets its
-election and comes back under another claimant's name. The table service
-takes no part, hence its outage changes nothing.
-
-Two reductions keep the search small. Only members that consider
-themselves primary are sent writes: others answer 1290 and nothing runs.
-A claim's answer that nobody waits for is dropped.
+"""State machine of the write and promotion protocol, for the search.
+
+Proposers run ``redwingpost.promotion.step``, writers decide about replicas
+with ``Acknowledgements`` and about failures with ``next_step``: the modules
+that run in production, not copies. Only their environment is modelled.
+
+The network may do anything: a request may arrive at any time after it was
+sent, or never, also after its sender timed out, crashed or was replaced.
+Claims, promotions and orders to follow may arrive twice. A caller's
+statement can't, as it is sent on one TCP connection. Any process may stop
+for any time, so that pauses, crashes with a restart, partitions and delays
+are all interleavings of the same steps. A proposer that crashes loses its
+election and starts again with another claimant name. The table service
+takes no part, so that its outage changes nothing.
+
+Two reductions keep the search small. Writes are sent only to members that
+consider themselves primary, since others answer 1290 and run nothing. An
+answer to a claim for which no proposer waits is dropped.
 """
 
 from collections.abc import Iterator
@@ -77,10 +77,10 @@
 def _with_member(state: State, index: int, member: Member) -> State:
     members = list(state.members)
     members[index] = member
-    led = state.led
+    leaders = state.leaders
     if member.primary:
-        led = led | {(member.own_term, member.name)}
-    return state._replace(members=tuple(members), led=led)
+        leaders = leaders | {(member.own_term, member.name)}
+    return state._replace(members=tuple(members), leaders=leaders)
 
 
 def _with_proposer(state: State, index: int, proposer: Proposer) -> State:
@@ -96,10 +96,10 @@
 
 
 def _finished(writer: Writer, outcome: str) -> Writer:
-    """Return the writer without what only the last attempt needed."""
+    """Return the writer with an outcome, without the last attempt's state."""
     return writer._replace(
         outcome=outcome,
-        waits=False,
+        is_waiting=False,
         primary="",
         position=None,
         replies=frozenset(),
@@ -109,14 +109,14 @@
 
 
 class Model:
-    """The steps that are possible in a state.
+    """Generates the steps that are possible in a state.
 
     Parameters
     ----------
     rules : Rules
-        Which rules hold.
+        Rules in force.
     bounds : Bounds
-        How many of everything.
+        Size of the model.
 
     Examples
     --------
@@ -132,7 +132,7 @@
         self.bounds = bounds
 
     def steps(self, state: State) -> Steps:
-        """Yield the name and the result of every possible step."""
+        """Yield the name and the resulting state of every possible step."""
         yield from self._proposer_steps(state)
         yield from self._claim_steps(state)
         yield from self._promotion_steps(state)
@@ -143,7 +143,7 @@
 
     def _proposer_steps(self, state: State) -> Steps:
         for index, proposer in enumerate(state.proposers):
-            if proposer.left:
+            if proposer.starts_left:
                 yield self._start(state, index, proposer)
             if proposer.election is None:
                 continue
@@ -153,16 +153,19 @@
                 yield f"{proposer.name} grace over", following
 
     def _start(self, state, index, proposer) -> tuple[str, State]:
-        """Start afresh: also what follows a crash or giving up."""
+        """Start an election, also after a crash or a failed one."""
         names = [member.name for member in state.members]
         if not self.rules.majority:
-            # The variant takes a majority of whom it reaches: one.
+            # The variant takes a majority of the members that it reaches,
+            # here one.
             names = names[index + 1 : index + 2]
         candidates = tuple(Candidate(name) for name in names)
         term = next_term((proposer.known_term,))
         election, _ = start(candidates, term)
         proposer = proposer._replace(
-            left=proposer.left - 1, known_term=term, election=election
+            starts_left=proposer.starts_left - 1,
+            known_term=term,
+            election=election,
         )
         sent = ClaimSent(index, proposer.claimant, term)
         state = _with_proposer(state, index, proposer)
@@ -176,21 +179,24 @@
             for entry in state.claim_answers
             if entry[0] != index or entry[1] == claimant
         )
-        promoted = frozenset(
+        promote_answers = frozenset(
             entry
-            for entry in state.promoted
+            for entry in state.promote_answers
             if entry[0] != index or entry[1] == claimant
         )
-        return state._replace(claim_answers=claim_answers, promoted=promoted)
+        return state._replace(
+            claim_answers=claim_answers, promote_answers=promote_answers
+        )
 
     def _feed(self, state: State, index: int, event) -> State:
-        """Give a proposer's election an event; send what it orders."""
+        """Apply an event to a proposer's election; send its commands."""
         proposer = state.proposers[index]
         election, commands = step(proposer.election, event)
         known = max(proposer.known_term, election.highest_term)
         over = election.phase in (Phase.DONE, Phase.GAVE_UP)
-        # What can't matter any more is forgotten, so that states merge.
-        known = known if proposer.left else 0
+        # A term that no later start uses is cleared, so that equal states
+        # merge.
+        known = known if proposer.starts_left else 0
         proposer = proposer._replace(
             known_term=known, election=None if over else election
         )
@@ -210,9 +216,9 @@
             for index, member in enumerate(state.members):
                 yield from self._deliver_claim(state, sent, index, member)
         for index, claimant, answer in state.claim_answers:
-            name = f"p{index} hears of {answer.member}'s claim"
-            rest = state.claim_answers - {(index, claimant, answer)}
-            following = state._replace(claim_answers=rest)
+            name = f"p{index} receives {answer.member}'s claim answer"
+            remaining = state.claim_answers - {(index, claimant, answer)}
+            following = state._replace(claim_answers=remaining)
             if state.proposers[index].election is not None:
                 yield name, self._feed(following, index, answer)
 
@@ -224,7 +230,7 @@
             proposer.election is not None
             and proposer.claimant == sent.claimant
             and proposer.election.phase in (Phase.CLAIMING, Phase.GRACE)
-            and member.name in self._unheard(proposer.election)
+            and member.name in self._unanswered(proposer.election)
         )
         if awaited:
             answer = self._claim_answer(claimed, sent)
@@ -234,9 +240,9 @@
         if following != state:
             yield f"{sent.claimant} claims {member.name}", following
 
-    def _unheard(self, election: Election) -> set[str]:
-        heard = {claimed.member for claimed in election.claims}
-        return {c.member for c in election.candidates} - heard
+    def _unanswered(self, election: Election) -> set[str]:
+        answered = {claimed.member for claimed in election.claims}
+        return {c.member for c in election.candidates} - answered
 
     def _claim_answer(self, member: Member, sent: ClaimSent) -> ClaimAnswer:
         accepted = claim_accepted(member, sent.term, sent.claimant)
@@ -250,44 +256,44 @@
     def _promotion_steps(self, state: State) -> Steps:
         for sent in state.promotes:
             yield from self._deliver_promote(state, sent)
-        for index, claimant, answer in state.promoted:
-            rest = state.promoted - {(index, claimant, answer)}
-            following = state._replace(promoted=rest)
+        for index, claimant, answer in state.promote_answers:
+            remaining = state.promote_answers - {(index, claimant, answer)}
+            following = state._replace(promote_answers=remaining)
             if state.proposers[index].election is not None:
-                name = f"p{index} hears that {answer.member} leads"
+                name = f"p{index} sees that {answer.member} leads"
                 yield name, self._feed(following, index, answer)
 
     def _deliver_promote(self, state: State, sent: PromoteSent) -> Steps:
         for index, member in enumerate(state.members):
             if member.name != sent.member:
                 continue
-            raised = promote(member, sent.term, sent.claimant)
-            following = _with_member(state, index, raised)
+            promoted = promote(member, sent.term, sent.claimant)
+            following = _with_member(state, index, promoted)
             proposer = state.proposers[sent.proposer]
             if (
                 proposer.election is not None
                 and proposer.claimant == sent.claimant
             ):
-                ok = raised.primary and raised.own_term == sent.term
-                answer = PromoteAnswer(member.name, ok, raised.received)
+                ok = promoted.primary and promoted.own_term == sent.term
+                answer = PromoteAnswer(member.name, ok, promoted.received)
                 entry = (sent.proposer, sent.claimant, answer)
-                promoted = state.promoted | {entry}
-                following = following._replace(promoted=promoted)
+                promote_answers = state.promote_answers | {entry}
+                following = following._replace(promote_answers=promote_answers)
             if following != state:
                 yield f"{member.name} promoted by {sent.claimant}", following
 
-    # Members among themselves. Whoever sees a leader may tell others to
-    # follow it, so the order is always in the network.
+    # Members among themselves. Any VM that sees a leader may order others
+    # to follow it, so that this order is always in the network.
 
     def _member_steps(self, state: State) -> Steps:
         for index, member in enumerate(state.members):
-            for term, leader in state.led:
-                told = follow(member, term, leader)
-                if told != member:
-                    name = f"{member.name} told to follow {leader}"
-                    yield name, _with_member(state, index, told)
-            # Without writes logs differ by promotions only, and whether
-            # these are copied bears on no promise.
+            for term, leader in state.leaders:
+                follower = follow(member, term, leader)
+                if follower != member:
+                    name = f"{member.name} starts to follow {leader}"
+                    yield name, _with_member(state, index, follower)
+            # Without writes logs differ only by promotions, and copying
+            # these can't violate an invariant.
             sources = state.members if self.bounds.keyed else ()
             for primary in sources:
                 pulled = pull(member, primary)
@@ -299,22 +305,22 @@
 
     def _writer_steps(self, state: State) -> Steps:
         for index, writer in enumerate(state.writers):
-            yield from self._arrivals(state, index, writer)
+            yield from self._arrival_steps(state, index, writer)
             if writer.outcome:
                 continue
-            if not writer.waits:
-                yield from self._send(state, index, writer)
+            if not writer.is_waiting:
+                yield from self._send_steps(state, index, writer)
                 continue
-            yield from self._hear(state, index, writer)
-            yield from self._confirm(state, index, writer)
-            yield from self._learn_fate(state, index, writer)
+            yield from self._reply_steps(state, index, writer)
+            yield from self._confirm_steps(state, index, writer)
+            yield from self._fate_steps(state, index, writer)
             failure = Failure.NO_ANSWER
             if writer.position is not None:
                 failure = Failure.NOT_CONFIRMED
             failed = self._fail(state, index, writer, failure)
             yield f"{writer.name} fails: {failure.name}", failed
 
-    def _send(self, state, index, writer) -> Steps:
+    def _send_steps(self, state, index, writer) -> Steps:
         attempt = writer.attempt + 1
         for member in state.members:
             if not member.primary or member.own_term < writer.known_term:
@@ -323,7 +329,7 @@
             sending = writer._replace(
                 attempt=attempt,
                 sent_to=sent_to,
-                waits=True,
+                is_waiting=True,
                 primary=member.name,
                 position=None,
                 answers=frozenset(),
@@ -332,14 +338,14 @@
             name = f"{writer.name} sends to {member.name}"
             yield name, _with_writer(state, index, sending)
 
-    def _arrivals(self, state, index, writer) -> Steps:
-        """A statement arrives, perhaps long after its sender gave up."""
+    def _arrival_steps(self, state, index, writer) -> Steps:
+        """Deliver a statement, perhaps long after its sender timed out."""
         for attempt, name in writer.sent_to:
             for number, member in enumerate(state.members):
                 if member.name != name:
                     continue
-                rest = writer.sent_to - {(attempt, name)}
-                arrived = writer._replace(sent_to=rest)
+                remaining = writer.sent_to - {(attempt, name)}
+                arrived = writer._replace(sent_to=remaining)
                 reply = (attempt, "refused", Position(0, 0))
                 following = state
                 if takes_writes(member, self.rules):
@@ -348,30 +354,30 @@
                     )
                     following = _with_member(state, number, done)
                     reply = (attempt, "committed", done.received)
-                awaited = writer.waits and attempt == writer.attempt
+                awaited = writer.is_waiting and attempt == writer.attempt
                 if awaited and not writer.outcome:
                     replies = writer.replies | {reply}
                     arrived = arrived._replace(replies=replies)
                 label = f"{name} gets {writer.name}'s attempt {attempt}"
                 yield label, _with_writer(following, index, arrived)
 
-    def _hear(self, state, index, writer) -> Steps:
+    def _reply_steps(self, state, index, writer) -> Steps:
         for _, result, position in writer.replies:
-            heard = writer._replace(replies=frozenset())
+            updated = writer._replace(replies=frozenset())
             if result == "refused":
                 failure = Failure.READ_ONLY
                 yield (
-                    f"{writer.name} hears 1290",
-                    self._fail(state, index, heard, failure),
+                    f"{writer.name} gets error 1290",
+                    self._fail(state, index, updated, failure),
                 )
                 continue
-            heard = heard._replace(position=position)
-            following = _with_writer(state, index, heard)
+            updated = updated._replace(position=position)
+            following = _with_writer(state, index, updated)
             if not self.rules.confirm:
-                following = self._acknowledge(state, index, heard)
-            yield f"{writer.name} hears {position}", following
+                following = self._acknowledge(state, index, updated)
+            yield f"{writer.name} gets position {position}", following
 
-    def _confirm(self, state, index, writer) -> Steps:
+    def _confirm_steps(self, state, index, writer) -> Steps:
         if writer.position is None:
             return
         for member in state.members:
@@ -380,12 +386,12 @@
             )
             if member.name == writer.primary or answer in writer.answers:
                 continue
-            # The wait lasts until the replica holds as much; an answer
-            # before that says no and settles nothing.
+            # The wait ends when the replica holds the position. An earlier
+            # answer is negative and decides nothing.
             if answer.received.index < writer.position.index:
                 continue
             if not self.rules.confirm_term:
-                # The variant looks at the index alone.
+                # The variant compares the index alone.
                 index_only = writer.position._replace(
                     index=answer.received.index
                 )
@@ -398,14 +404,14 @@
             asked = writer._replace(answers=answers)
             name = f"{member.name} answers {writer.name}'s wait"
             yield name, _with_writer(state, index, asked)
-        if self._judged(state, writer):
+        if self._has_enough_answers(state, writer):
             yield (
                 f"{writer.name} acknowledges",
                 self._acknowledge(state, index, writer),
             )
 
-    def _learn_fate(self, state, index, writer) -> Steps:
-        """Judge a write by the history of a later term's primary."""
+    def _fate_steps(self, state, index, writer) -> Steps:
+        """Decide a write's fate by the history of a later term's primary."""
         if writer.position is None:
             return
         for member in state.members:
@@ -420,10 +426,10 @@
                 term = member.own_term
                 yield name, self._acknowledge(state, index, writer, term)
             if fate is Fate.DROPPED:
-                # From here on its proxy knows this term: an older primary,
-                # which still holds the dropped write, is not asked again.
-                knows = writer._replace(known_term=member.own_term)
-                failed = self._fail(state, index, knows, Failure.DROPPED)
+                # The proxy now knows this term, so that an older primary,
+                # which still holds the dropped write, gets no retry.
+                informed = writer._replace(known_term=member.own_term)
+                failed = self._fail(state, index, informed, Failure.DROPPED)
                 yield name, failed
 
     def _confirmed_start(
@@ -444,8 +450,8 @@
             return first
         return Position(0, 0)
 
-    def _judged(self, state: State, writer: Writer) -> bool:
-        """Ask the acknowledgement rule about the answers so far."""
+    def _has_enough_answers(self, state: State, writer: Writer) -> bool:
+        """Return whether the answers so far acknowledge the write."""
         names = [member.name for member in state.members]
         replicas = [name for name in names if name != writer.primary]
         needed = replicas_needed(len(names))
@@ -456,7 +462,7 @@
         return any(d.decision is Decision.ACKNOWLEDGED for d in decided)
 
     def _acknowledge(self, state, index, writer, term=0) -> State:
-        """Tell the caller; ``term`` is the one that proved it."""
+        """Acknowledge a write; ``term`` is the one that proved it."""
         done = _finished(writer, ACKNOWLEDGED)
         entry = (writer.name, term or writer.position.term)
         state = state._replace(acknowledged=state.acknowledged | {entry})
--- a/redwingpost/verify/search.py
+++ b/redwingpost/verify/search.py
@@ -1,4 +1,4 @@
-"""A breadth-first search of every state that a model can reach."""
+"""Breadth-first search of all states that a model can reach."""
 
 from collections import deque
 from collections.abc import Callable, Hashable, Iterable
@@ -9,16 +9,16 @@
 #: A step's name and the state that it leads to.
 Successors = Callable[[S], Iterable[tuple[str, S]]]
 
-#: Returns what is wrong with a state, or an empty string.
+#: Returns a description of a state's violation, or an empty string.
 Invariant = Callable[[S], str]
 
 
 class Found(NamedTuple, Generic[S]):
     """Outcome of a search.
 
-    ``violation`` is empty if every state kept the invariant; else
-    ``trace`` holds the steps of a shortest way to the violation.
-    ``complete`` is False where ``limit`` stopped the search.
+    ``violation`` is empty if every state satisfied the invariant; otherwise
+    ``trace`` holds the steps of a shortest path to the violation.
+    ``complete`` is False if a violation or ``limit`` ended the search.
     """
 
     states: int
@@ -33,18 +33,18 @@
     invariant: Invariant,
     limit: int = 1_000_000,
 ) -> Found[S]:
-    """Visit all states from ``initial`` on, nearest first.
+    """Visit all states that can be reached from ``initial``, nearest first.
 
     Parameters
     ----------
     initial : hashable
-        Where the model starts.
+        The model's initial state.
     successors : callable
         Returns the steps possible in a state.
     invariant : callable
         Returns a violation's description or an empty string.
     limit : int, optional
-        States to visit at most.
+        Maximum number of states to visit.
 
     Examples
     --------
@@ -91,7 +91,7 @@
     Raises
     ------
     ValueError
-        If a step isn't possible where its turn comes.
+        If a step isn't possible in the state that precedes it.
 
     Examples
     --------
@@ -102,6 +102,8 @@
     for name in names:
         following = dict(successors(state))
         if name not in following:
-            raise ValueError(f"{name!r} isn't among {sorted(following)}")
+            raise ValueError(
+                f"{name!r} isn't possible, only {sorted(following)}"
+            )
         state = following[name]
     return state
--- a/redwingpost/verify/state.py
+++ b/redwingpost/verify/state.py
@@ -1,4 +1,4 @@
-"""What the protocol's model consists of, and what must always hold."""
+"""State of the protocol's model, and the invariant of every state."""
 
 from typing import NamedTuple
 
@@ -13,10 +13,10 @@
 
 
 class Bounds(NamedTuple):
-    """How large the model is.
+    """Size of the model.
 
-    ``keyed`` says of each writer whether its write has a key;
-    ``elections`` how many each proposer may start.
+    ``keyed`` tells for each writer whether its write has a key,
+    ``elections`` how many elections each proposer may start.
     """
 
     members: int = 3
@@ -26,26 +26,26 @@
 
 
 class Proposer(NamedTuple):
-    """One agent: its election under way and the starts it has left."""
+    """One agent: its current election, and the starts that it has left."""
 
     name: str
-    left: int
+    starts_left: int
     known_term: int
     election: Election | None = None
 
     @property
     def claimant(self) -> str:
-        """Return the name it claims under; every start has its own."""
-        return f"{self.name}/{self.left}"
+        """Return the claimant's name, different for each start."""
+        return f"{self.name}/{self.starts_left}"
 
 
 class Writer(NamedTuple):
-    """One caller's write with its proxy.
+    """One caller's write and its proxy.
 
-    ``attempt`` counts sendings; ``sent_to`` holds those still in the
-    network as (attempt, member). ``answers`` are the replicas' answers
-    for the attempt that committed at ``position``. ``known_term`` is
-    the newest that its proxy has learnt of from a history.
+    ``attempt`` is the number of the last attempt; ``sent_to`` holds those
+    still in the network as (attempt, member). ``answers`` are the replicas'
+    answers for the attempt that committed at ``position``. ``known_term``
+    is the newest term that the proxy has found in a history.
     """
 
     name: str
@@ -53,7 +53,7 @@
     attempt: int = 0
     sent_to: frozenset[tuple[int, str]] = frozenset()
     replies: frozenset[tuple[int, str, Position]] = frozenset()
-    waits: bool = False
+    is_waiting: bool = False
     primary: str = ""
     position: Position | None = None
     answers: frozenset[WaitAnswer] = frozenset()
@@ -63,7 +63,7 @@
 
 
 class ClaimSent(NamedTuple):
-    """A claim in the network, for every member, for ever."""
+    """A claim sent to every member; it is never removed."""
 
     proposer: int
     claimant: str
@@ -71,7 +71,7 @@
 
 
 class PromoteSent(NamedTuple):
-    """A promotion order in the network, for ever."""
+    """A promotion order in the network; it is never removed."""
 
     proposer: int
     claimant: str
@@ -80,7 +80,11 @@
 
 
 class State(NamedTuple):
-    """Everything: members, proposers, writers and the network."""
+    """State of the whole model: members, proposers, writers, network.
+
+    ``leaders`` holds each term's primaries so far as (term, member);
+    ``acknowledged`` each acknowledged write with its term.
+    """
 
     members: tuple[Member, ...]
     proposers: tuple[Proposer, ...]
@@ -88,8 +92,8 @@
     claims: frozenset[ClaimSent] = frozenset()
     claim_answers: frozenset[tuple[int, str, ClaimAnswer]] = frozenset()
     promotes: frozenset[PromoteSent] = frozenset()
-    promoted: frozenset[tuple[int, str, PromoteAnswer]] = frozenset()
-    led: frozenset[tuple[int, str]] = frozenset()
+    promote_answers: frozenset[tuple[int, str, PromoteAnswer]] = frozenset()
+    leaders: frozenset[tuple[int, str]] = frozenset()
     acknowledged: frozenset[tuple[str, int]] = frozenset()
 
 
@@ -97,7 +101,7 @@
 
 
 def initial_state(bounds: Bounds) -> State:
-    """Return the group in good order: the first member leads term 1."""
+    """Return a healthy group whose first member leads in term 1."""
     names = [chr(ord("a") + number) for number in range(bounds.members)]
     log = (Entry(1, ""),)
     members = tuple(
@@ -105,20 +109,20 @@
         for name in names
     )
     proposers = tuple(
-        Proposer(f"p{number}", left, 1)
-        for number, left in enumerate(bounds.elections)
+        Proposer(f"p{number}", starts_left, 1)
+        for number, starts_left in enumerate(bounds.elections)
     )
     writers = tuple(
         Writer(f"w{number}", keyed)
         for number, keyed in enumerate(bounds.keyed)
     )
-    led = frozenset({(1, "a")})
-    return State(members, proposers, writers, led=led)
+    leaders = frozenset({(1, "a")})
+    return State(members, proposers, writers, leaders=leaders)
 
 
 def violation(state: State) -> str:
-    """Return which promise a state breaks, or an empty string."""
-    terms = [term for term, _ in state.led]
+    """Return which invariant a state violates, or an empty string."""
+    terms = [term for term, _ in state.leaders]
     if len(terms) != len(set(terms)):
         return "two primaries of one term"
     for name, term in state.acknowledged:
@@ -135,8 +139,8 @@
         writes = member.writes()
         if len(writes) != len(set(writes)):
             return f"{member.name} ran a write twice"
-        # A replaced primary may hold a dropped write until it follows;
-        # what counts is that no log in force ever holds it.
+        # A replaced primary may hold a dropped write until it follows the
+        # new one. No log of the newest term may hold it.
         if member.own_term == max(terms) and not_run.intersection(writes):
             return f"{member.name} ran what was called not run"
     return ""
--- a/redwingpost/verify/takeover.py
+++ b/redwingpost/verify/takeover.py
@@ -1,16 +1,18 @@
-"""Takeovers and proven reads, searched with the members' real rules.
-
-Three members: one leads, two follow. A primary takes commits, which are
-acknowledged once one replica has received them. A conductor pauses,
-stops, chooses and orders; it may die at any step, and another, which
-remembers nothing of the group, may start. A reader with an old view asks
-for proofs. The decisions are those of ``redwingpost.takeover.plan`` and
-``redwingpost.groups.evidence``; each rule can be switched off, and each
-switched off must be caught.
-
-What must hold: a promoted log holds every acknowledged commit; nothing is
-acknowledged at a primary that was replaced; no read that is served lacks
-what was acknowledged before it.
+"""Model of takeovers and proven reads, for the search.
+
+There are three members: a primary and two replicas. A primary takes
+commits, which are acknowledged once one replica has received them. A
+coordinator pauses replicas, stops the primary, chooses a replica and orders
+its promotion. It may crash at any step, and another one, without any state
+of the group, may start. A reader with an outdated view requests proofs. The
+decisions are those of ``redwingpost.takeover.plan`` and
+``redwingpost.groups.confirmation``, the modules that run in production; the
+proofs follow ``redwingpost.groups.evidence``. Each rule can be disabled;
+the search must then find a violation.
+
+The invariants: a promoted log holds every acknowledged commit; nothing is
+acknowledged at a primary that was replaced; no read that is served lacks a
+commit that was acknowledged before it.
 """
 
 from collections.abc import Iterator
@@ -29,34 +31,34 @@
 from redwingpost.takeover.plan import MemberStatus, Survey, may_promote
 from redwingpost.verify.takeover_reads import ReadSteps
 from redwingpost.verify.takeover_state import (
-    Conductor,
+    Coordinator,
+    Faults,
     Member,
-    Moves,
     Pending,
     Step,
     TakeoverRules,
     TakeoverState,
+    find_violation,
     first_state,
-    what_is_wrong,
 )
 
 __all__ = (
     "TakeoverModel",
     "TakeoverRules",
     "first_state",
-    "what_is_wrong",
+    "find_violation",
 )
 
-#: Commits and takeovers that a search plays.
+#: Largest numbers of commits and takeovers in a search.
 MAX_COMMITS = 2
 MAX_TAKEOVERS = 2
 
-#: Members that are cut off together: the first primary alone, or with one
-#: of its replicas.
-_CUTS = ((0,), (0, 1))
+#: Members that are partitioned from the others together: the first primary
+#: alone, or with one of its replicas.
+_PARTITIONS = ((0,), (0, 1))
 
-#: A replica that is cut off by itself.
-_REPLICA_CUTS = ((1,),)
+#: A replica that is partitioned alone.
+_REPLICA_PARTITIONS = ((1,),)
 
 _ENTRIES = tuple(
     MemberEntry(str(number), "g", "ip", number, "dc", False, False)
@@ -65,22 +67,22 @@
 
 
 class TakeoverModel:
-    """Steps possible in a state.
+    """Generates the steps that are possible in a state.
 
     Parameters
     ----------
     rules : TakeoverRules
-        The guards in force.
+        Rules in force.
     restarts, may : optional
-        What may go wrong, by the names of
-        ``redwingpost.verify.takeover_state.Moves``.
+        Faults that may occur: the fields of
+        ``redwingpost.verify.takeover_state.Faults``.
 
     Examples
     --------
     >>> from redwingpost.verify.search import search
     >>> rules = TakeoverRules(checks_complete=False, confirms_commits=False)
     >>> model = TakeoverModel(rules)
-    >>> bool(search(first_state(), model.steps, what_is_wrong).violation)
+    >>> bool(search(first_state(), model.steps, find_violation).violation)
     True
     """
 
@@ -88,15 +90,15 @@
         self, rules: TakeoverRules, restarts: int = 0, **may: bool
     ) -> None:
         self._rules = rules
-        self._moves = Moves(restarts, **may)
+        self._faults = Faults(restarts, **may)
         self._reads = ReadSteps(rules)
 
     def steps(self, state: TakeoverState) -> Iterator[Step]:
-        """Return the steps possible in a state."""
+        """Yield the name and the resulting state of every possible step."""
         for number, member in enumerate(state.members):
             yield from self._member_steps(state, number, member)
-        yield from self._cut_steps(state)
-        yield from self._conductor_steps(state)
+        yield from self._partition_steps(state)
+        yield from self._coordinator_steps(state)
         yield from self._writer_steps(state)
         yield from self._reads.steps(state)
 
@@ -105,70 +107,88 @@
     def _member_steps(
         self, state: TakeoverState, number: int, member: Member
     ) -> Iterator[Step]:
-        if (member.is_dark or member.is_cut) and not member.is_dropped:
-            if self._moves.may_go or self._moves.may_return or member.is_cut:
-                dropped = member._replace(is_dropped=True)
-                yield f"{number} is off the list", state.put(number, dropped)
-        if member.is_dark:
-            yield from self._dark_steps(state, number, member)
+        if (
+            member.is_down or member.is_partitioned
+        ) and not member.is_unlisted:
+            if (
+                self._faults.may_vanish
+                or self._faults.may_return
+                or member.is_partitioned
+            ):
+                unlisted = member._replace(is_unlisted=True)
+                yield f"{number} is unlisted", state.with_member(
+                    number, unlisted
+                )
+        if member.is_down:
+            yield from self._down_steps(state, number, member)
         elif member.is_primary:
             yield from self._primary_steps(state, number, member)
         else:
             yield from self._replica_steps(state, number, member)
 
-    def _dark_steps(
+    def _down_steps(
         self, state: TakeoverState, number: int, member: Member
     ) -> Iterator[Step]:
-        if not member.is_dropped:
+        if not member.is_unlisted:
             return
-        if self._moves.may_return:
+        if self._faults.may_return:
             newest = state.newest_primary()
             is_replaced = newest is not None and newest.term > member.term
-            back = member._replace(
-                is_dark=False,
-                is_dropped=False,
+            returned = member._replace(
+                is_down=False,
+                is_unlisted=False,
                 has_restarted=True,
                 is_primary=member.is_primary and not is_replaced,
             )
-            yield f"{number} is back", state.put(number, back)
-        elif not member.is_forgotten and self._may_forget(state, member):
-            forgotten = member._replace(is_forgotten=True)
-            yield f"{number} is forgotten", state.put(number, forgotten)
+            yield f"{number} returns", state.with_member(number, returned)
+        elif not member.is_off_roster and self._may_leave_roster(
+            state, member
+        ):
+            removed = member._replace(is_off_roster=True)
+            yield f"{number} is off the roster", state.with_member(
+                number, removed
+            )
 
-    def _may_forget(self, state: TakeoverState, member: Member) -> bool:
-        """Say whether those that stay hold what a gone member may have."""
+    def _may_leave_roster(self, state: TakeoverState, member: Member) -> bool:
+        """Return whether the remaining members hold the primary's log."""
         if not self._rules.checks_floor:
             return True
         primary = state.newest_primary()
         if primary is None or not primary.is_reachable:
             return False
-        stay = [m for m in state.members if not m.is_dropped]
-        return len(stay) > 1 and all(m.head >= primary.head for m in stay)
+        remaining = [m for m in state.members if not m.is_unlisted]
+        return len(remaining) > 1 and all(
+            m.head >= primary.head for m in remaining
+        )
 
     def _replica_steps(
         self, state: TakeoverState, number: int, member: Member
     ) -> Iterator[Step]:
         if member.paused_for and self._may_restart(state):
-            again = member._replace(paused_for=0, has_restarted=True)
-            following = state.put(number, again)
+            restarted = member._replace(paused_for=0, has_restarted=True)
+            following = state.with_member(number, restarted)
             yield (
                 f"{number} restarts",
                 following._replace(restarts=state.restarts + 1),
             )
         newest = state.newest_primary()
-        if newest is None or newest.is_dark or newest.is_cut != member.is_cut:
+        if (
+            newest is None
+            or newest.is_down
+            or newest.is_partitioned != member.is_partitioned
+        ):
             return
         if member.paused_for <= newest.term and newest.term > member.term:
-            # What it had beyond the new primary's log is rolled back.
+            # Commits that the new primary's log lacks are rolled back.
             follower = member.take_log(newest)._replace(paused_for=0)
-            yield f"{number} follows", state.put(number, follower)
+            yield f"{number} follows", state.with_member(number, follower)
 
     def _may_restart(self, state: TakeoverState) -> bool:
-        if state.restarts >= self._moves.restarts:
+        if state.restarts >= self._faults.restarts:
             return False
-        conductor = state.conductor
-        is_ordered = conductor is not None and conductor.is_ordered
-        return not (is_ordered and self._moves.spares_ordered)
+        coordinator = state.coordinator
+        is_ordered = coordinator is not None and coordinator.is_ordered
+        return not (is_ordered and self._faults.no_restart_after_order)
 
     def _primary_steps(
         self, state: TakeoverState, number: int, member: Member
@@ -176,22 +196,26 @@
         if state.commits < MAX_COMMITS:
             entry = (state.commits, member.term)
             log = (*member.log, entry)
-            grown = member._replace(log=log, applied=len(log))
-            following = state.put(number, grown)
+            extended = member._replace(log=log, applied=len(log))
+            following = state.with_member(number, extended)
             yield (
                 f"{number} takes a commit",
                 following._replace(commits=state.commits + 1),
             )
         if state.takeovers == 0 and number == 0:
-            yield "0 goes dark", state.put(0, member._replace(is_dark=True))
-            if self._moves.may_hide and not member.is_hidden:
+            yield "0 crashes", state.with_member(
+                0, member._replace(is_down=True)
+            )
+            if self._faults.may_be_hidden and not member.is_hidden:
                 hidden = member._replace(is_hidden=True)
-                yield "0 is out of the conductor's reach", state.put(0, hidden)
+                yield "0 is hidden from the coordinator", state.with_member(
+                    0, hidden
+                )
         if member.term < state.newest_primary().term:
-            # Told by the conductor, or by the new primary itself.
+            # Ordered by the coordinator, or by the new primary.
             yield (
                 f"{number} steps down",
-                state.put(number, member._replace(is_primary=False)),
+                state.with_member(number, member._replace(is_primary=False)),
             )
         for other, replica in enumerate(state.members):
             if replica.receives_from(member) and replica.log != member.log:
@@ -200,55 +224,59 @@
                     self._receive(state, number, other),
                 )
 
-    def _cut_steps(self, state: TakeoverState) -> Iterator[Step]:
-        if not state.has_cut:
-            cuts = _CUTS if self._moves.may_cut else ()
-            if self._moves.may_lose_replica:
-                cuts = (*cuts, *_REPLICA_CUTS)
-            for cut in cuts:
-                names = " and ".join(map(str, cut))
-                following = state._replace(has_cut=True)
-                for number in cut:
-                    member = state.members[number]._replace(is_cut=True)
-                    following = following.put(number, member)
-                yield f"{names} are cut off", following
-        if any(member.is_cut for member in state.members):
+    def _partition_steps(self, state: TakeoverState) -> Iterator[Step]:
+        if not state.has_partitioned:
+            partitions = _PARTITIONS if self._faults.may_partition else ()
+            if self._faults.may_partition_replica:
+                partitions = (*partitions, *_REPLICA_PARTITIONS)
+            for partition in partitions:
+                names = " and ".join(map(str, partition))
+                following = state._replace(has_partitioned=True)
+                for number in partition:
+                    member = state.members[number]._replace(
+                        is_partitioned=True
+                    )
+                    following = following.with_member(number, member)
+                yield f"{names} partitioned", following
+        if any(member.is_partitioned for member in state.members):
             healed = tuple(
                 member._replace(
-                    is_cut=False,
-                    is_dropped=member.is_dropped and member.is_dark,
+                    is_partitioned=False,
+                    is_unlisted=member.is_unlisted and member.is_down,
                 )
                 for member in state.members
             )
-            yield "the cut heals", state._replace(members=healed)
+            yield "the partition heals", state._replace(members=healed)
 
     # Writers -----------------------------------------------------------
 
     def _receive(
         self, state: TakeoverState, number: int, other: int
     ) -> TakeoverState:
-        """Let a replica take a primary's log, which then acknowledges it."""
+        """Copy a primary's log to a replica; the primary acknowledges it."""
         primary = state.members[number]
-        following = state.put(other, state.members[other].take_log(primary))
+        following = state.with_member(
+            other, state.members[other].take_log(primary)
+        )
         known = {item.commit for item in state.pending} | state.acknowledged
-        is_late = state.newest_primary().term > primary.term
-        fresh = frozenset(
-            Pending(commit, number, is_late)
+        is_stale = state.newest_primary().term > primary.term
+        new_commits = frozenset(
+            Pending(commit, number, is_stale)
             for commit in primary.log
             if commit not in known
         )
         if self._needs_confirmation(following, primary):
-            return following._replace(pending=state.pending | fresh)
-        for item in fresh:
+            return following._replace(pending=state.pending | new_commits)
+        for item in new_commits:
             following = _acknowledge(following, item)
         return following
 
     def _needs_confirmation(
         self, state: TakeoverState, primary: Member
     ) -> bool:
-        """Say whether a takeover may be under way, as a writer's VM sees it.
+        """Return whether a writer's VM has signs of a takeover under way.
 
-        VMs tell each other which primaries they don't reach.
+        VMs report to each other which primaries they can't reach.
         """
         if not self._rules.confirms_commits:
             return False
@@ -273,40 +301,42 @@
     def _answers_for(
         self, state: TakeoverState, primary: int
     ) -> list[ReplicaAnswer]:
-        """Return what a VM beside a primary hears of the others."""
-        is_cut = state.members[primary].is_cut
+        """Return the replicas' answers to a VM on the primary's side."""
+        is_partitioned = state.members[primary].is_partitioned
         return [
             ReplicaAnswer(_report(member), not member.has_restarted)
             for number, member in enumerate(state.members)
             if number != primary
-            and not member.is_dark
-            and member.is_cut == is_cut
+            and not member.is_down
+            and member.is_partitioned == is_partitioned
         ]
 
-    # Conductor ---------------------------------------------------------
+    # Coordinator -------------------------------------------------------
 
-    def _conductor_steps(self, state: TakeoverState) -> Iterator[Step]:
-        conductor = state.conductor
-        if conductor is None:
+    def _coordinator_steps(self, state: TakeoverState) -> Iterator[Step]:
+        coordinator = state.coordinator
+        if coordinator is None:
             if state.takeovers < MAX_TAKEOVERS:
-                yield from self._begin(state)
+                yield from self._start_takeover(state)
             return
-        yield "conductor dies", state._replace(conductor=None)
-        if conductor.is_ordered:
-            if not state.members[conductor.chosen].is_dark:
+        yield "coordinator crashes", state._replace(coordinator=None)
+        if coordinator.is_ordered:
+            if not state.members[coordinator.chosen].is_down:
                 yield "promotion takes effect", _promote(state)
             return
-        waiting = self._to_pause(state, conductor) - conductor.paused
-        yield from self._pause_steps(state, conductor, waiting)
+        waiting = (
+            self._members_to_pause(state, coordinator) - coordinator.paused
+        )
+        yield from self._pause_steps(state, coordinator, waiting)
         if waiting:
             return
-        if self._is_to_stop(state, conductor):
-            yield self._stop(state, conductor)
-        elif self._may_order(state, conductor):
-            ordered = conductor._replace(is_ordered=True)
-            yield "conductor orders", state._replace(conductor=ordered)
+        if self._must_stop(state, coordinator):
+            yield self._stop(state, coordinator)
+        elif self._may_order(state, coordinator):
+            ordered = coordinator._replace(is_ordered=True)
+            yield "promotion ordered", state._replace(coordinator=ordered)
 
-    def _begin(self, state: TakeoverState) -> Iterator[Step]:
+    def _start_takeover(self, state: TakeoverState) -> Iterator[Step]:
         newest = state.newest_primary()
         old = None if newest is None else state.members.index(newest)
         answers = newest is not None and newest.is_reachable
@@ -317,100 +347,104 @@
             if member.is_primary or not member.is_reachable:
                 continue
             for planned in (True, False) if answers else (False,):
-                conductor = Conductor(term, planned, old, chosen)
-                way = "planned" if planned else "unplanned"
+                coordinator = Coordinator(term, planned, old, chosen)
+                kind = "planned" if planned else "unplanned"
                 yield (
-                    f"{way} takeover by {chosen}",
+                    f"{kind} takeover by {chosen}",
                     state._replace(
-                        conductor=conductor, takeovers=state.takeovers + 1
+                        coordinator=coordinator, takeovers=state.takeovers + 1
                     ),
                 )
 
-    def _to_pause(
-        self, state: TakeoverState, conductor: Conductor
+    def _members_to_pause(
+        self, state: TakeoverState, coordinator: Coordinator
     ) -> frozenset[int]:
-        wanted = {
+        to_pause = {
             number
             for number, member in enumerate(state.members)
-            if number != conductor.old
+            if number != coordinator.old
             and not member.is_primary
             and member.is_reachable
         }
-        if conductor.planned:
-            wanted.discard(conductor.chosen)
+        if coordinator.planned:
+            to_pause.discard(coordinator.chosen)
         if not self._rules.pauses_others:
-            wanted &= {conductor.chosen}
-        return frozenset(wanted)
+            to_pause &= {coordinator.chosen}
+        return frozenset(to_pause)
 
     def _pause_steps(
         self,
         state: TakeoverState,
-        conductor: Conductor,
+        coordinator: Coordinator,
         waiting: frozenset[int],
     ) -> Iterator[Step]:
         for number in waiting:
             member = state.members[number]
-            paused = member._replace(paused_for=conductor.term)
-            following = state.put(number, paused)
-            done = conductor._replace(paused=conductor.paused | {number})
+            paused = member._replace(paused_for=coordinator.term)
+            following = state.with_member(number, paused)
+            done = coordinator._replace(paused=coordinator.paused | {number})
             yield (
-                f"conductor pauses {number}",
-                following._replace(conductor=done),
+                f"coordinator pauses {number}",
+                following._replace(coordinator=done),
             )
 
-    def _is_to_stop(self, state: TakeoverState, conductor: Conductor) -> bool:
-        if conductor.old is None or not self._rules.stops_first:
+    def _must_stop(
+        self, state: TakeoverState, coordinator: Coordinator
+    ) -> bool:
+        if coordinator.old is None or not self._rules.stops_first:
             return False
-        old = state.members[conductor.old]
+        old = state.members[coordinator.old]
         return old.is_primary and old.is_reachable
 
-    def _stop(self, state: TakeoverState, conductor: Conductor) -> Step:
-        old = state.members[conductor.old]._replace(is_primary=False)
-        following = state.put(conductor.old, old)
-        stopped = conductor._replace(is_stopped=True)
+    def _stop(self, state: TakeoverState, coordinator: Coordinator) -> Step:
+        old = state.members[coordinator.old]._replace(is_primary=False)
+        following = state.with_member(coordinator.old, old)
+        stopped = coordinator._replace(is_stopped=True)
         return (
-            f"conductor stops {conductor.old}",
-            following._replace(conductor=stopped),
+            f"coordinator stops {coordinator.old}",
+            following._replace(coordinator=stopped),
         )
 
-    def _may_order(self, state: TakeoverState, conductor: Conductor) -> bool:
+    def _may_order(
+        self, state: TakeoverState, coordinator: Coordinator
+    ) -> bool:
         if not self._rules.checks_complete:
             return True
-        if not state.members[conductor.chosen].is_reachable:
+        if not state.members[coordinator.chosen].is_reachable:
             return False
         statuses = tuple(
-            self._status(conductor, number, member)
+            self._status(coordinator, number, member)
             for number, member in enumerate(state.members)
-            if self._counts(conductor, number, member)
+            if self._counts(coordinator, number, member)
         )
-        stopped = str(conductor.old) if conductor.is_stopped else None
-        survey = Survey(statuses, stopped, conductor.term, 1, ZERO_POSITION)
+        stopped = str(coordinator.old) if coordinator.is_stopped else None
+        survey = Survey(statuses, stopped, coordinator.term, 1, ZERO_POSITION)
         for item in statuses:
-            if item.entry.member == str(conductor.chosen):
+            if item.entry.member == str(coordinator.chosen):
                 return may_promote(item, survey)
         return False
 
     def _counts(
-        self, conductor: Conductor, number: int, member: Member
+        self, coordinator: Coordinator, number: int, member: Member
     ) -> bool:
-        """Say whether a member's answer is needed, or its silence told."""
-        if member.is_forgotten:
+        """Return whether a member is part of the survey."""
+        if member.is_off_roster:
             return False
-        if member.is_dropped and not self._rules.counts_dropped:
+        if member.is_unlisted and not self._rules.counts_unlisted:
             return False
-        # Without a stop the old primary is left to itself.
-        is_left = number == conductor.old and member.is_primary
-        return self._rules.stops_first or not is_left
+        # In the variant that doesn't stop it, the old primary is ignored.
+        is_ignored = number == coordinator.old and member.is_primary
+        return self._rules.stops_first or not is_ignored
 
     def _status(
-        self, conductor: Conductor, number: int, member: Member
+        self, coordinator: Coordinator, number: int, member: Member
     ) -> MemberStatus:
-        has_answered = conductor.is_stopped and number == conductor.old
+        has_answered = coordinator.is_stopped and number == coordinator.old
         if not member.is_reachable and not has_answered:
             return MemberStatus(_ENTRIES[number], None)
         paused_for = member.paused_for
-        if not self._rules.asks_again and number in conductor.paused:
-            paused_for = conductor.term
+        if not self._rules.repeats_pause and number in coordinator.paused:
+            paused_for = coordinator.term
         report = _report(member)._replace(paused_for=paused_for)
         return MemberStatus(_ENTRIES[number], report)
 
@@ -423,30 +457,30 @@
 
 
 def _acknowledge(state: TakeoverState, item: Pending) -> TakeoverState:
-    """Tell a writer that its commit is kept."""
+    """Acknowledge a commit to its writer; check that it is kept."""
     following = state._replace(acknowledged=state.acknowledged | {item.commit})
-    if item.is_late:
-        return following._replace(wrong="acknowledged when replaced")
+    if item.is_stale:
+        return following._replace(violation="acknowledged when replaced")
     newest = state.newest_primary()
     if newest is None or newest.term <= item.commit[1]:
         return following
     if item.commit not in newest.log:
-        return following._replace(wrong="an acknowledged commit is lost")
+        return following._replace(violation="an acknowledged commit is lost")
     return following
 
 
 def _promote(state: TakeoverState) -> TakeoverState:
-    """Let the ordered promotion take effect."""
-    conductor = state.conductor
+    """Apply the ordered promotion; check that no commit is lost."""
+    coordinator = state.coordinator
     term = 1 + max(member.term for member in state.members)
-    chosen = state.members[conductor.chosen]
+    chosen = state.members[coordinator.chosen]
     leader = chosen._replace(
         is_primary=True,
         term=term,
         paused_for=0,
         applied=len(chosen.log),
     )
-    following = state.put(conductor.chosen, leader)
+    following = state.with_member(coordinator.chosen, leader)
     if state.acknowledged - frozenset(leader.log):
-        return following._replace(wrong="an acknowledged commit is lost")
-    return following._replace(conductor=None)
+        return following._replace(violation="an acknowledged commit is lost")
+    return following._replace(coordinator=None)
--- a/redwingpost/verify/takeover_state.py
+++ b/redwingpost/verify/takeover_state.py
@@ -1,93 +1,123 @@
-"""What a search of takeovers keeps of a group: members, steps under way."""
+"""State of a group in the search of takeovers, and its options."""
 
 from typing import NamedTuple
 
-#: A commit: its number and the term that it was taken in.
+#: A commit: its number and the term of the primary that took it.
 Commit = tuple[int, int]
 
 
 class TakeoverRules(NamedTuple):
-    """Guards that may be switched off.
-
-    ``checks_floor``: a member that is gone is forgotten only once those
-    that stay hold what the primary does. ``counts_dropped``: one that the
-    registry no longer lists counts until then. ``stops_first``: an old
-    primary that answers is stopped before the order. ``asks_again``: the
-    pauses are confirmed right before the order. ``confirms_commits``: while
-    a takeover may be under way, replicas are asked before a writer is told
-    that its commit is kept. ``asks_leader``: whoever a read ran at must
-    say itself that it leads, after the read began.
+    """Rules that can be disabled one at a time.
+
+    Attributes
+    ----------
+    pauses_others : bool
+        All reachable replicas are paused, not only the chosen one.
+    checks_complete : bool
+        The order requires ``redwingpost.takeover.plan.may_promote``.
+    respects_pause : bool
+        A replica that is paused for a newer term confirms no primary.
+    proves_after_start : bool
+        A read's proof must be given after the read began.
+    excludes_restarted : bool
+        A replica that has restarted confirms no primary.
+    checks_floor : bool
+        A gone member leaves the roster only once the remaining members hold
+        the primary's log.
+    counts_unlisted : bool
+        A member that the registry no longer lists counts until then.
+    stops_first : bool
+        An old primary that answers is stopped before the order.
+    repeats_pause : bool
+        The pauses are confirmed immediately before the order.
+    confirms_commits : bool
+        While a takeover may be under way, replicas must confirm a commit
+        before it is acknowledged to its writer.
+    asks_primary : bool
+        The member that served a read must report, after the read began,
+        that it leads.
     """
 
     pauses_others: bool = True
     checks_complete: bool = True
-    heeds_pause: bool = True
-    asks_after_read: bool = True
-    distrusts_restarted: bool = True
+    respects_pause: bool = True
+    proves_after_start: bool = True
+    excludes_restarted: bool = True
     checks_floor: bool = True
-    counts_dropped: bool = True
+    counts_unlisted: bool = True
     stops_first: bool = True
-    asks_again: bool = True
+    repeats_pause: bool = True
     confirms_commits: bool = True
-    asks_leader: bool = True
-
-
-class Moves(NamedTuple):
-    """What may go wrong in a search.
-
-    ``restarts`` is how often a replica may start again and forget its
-    pause. ``may_go``: a dark member may be gone for good. ``may_return``:
-    it may fall off the registry's list and come back, with its log.
-    ``may_cut``: members may be cut off together. ``may_hide``: the
-    conductor may not reach a primary that its replicas reach.
-    ``spares_ordered``: none starts again between an order and its effect.
-    ``may_lose_replica``: a replica may be cut off by itself.
+    asks_primary: bool = True
+
+
+class Faults(NamedTuple):
+    """Faults that may occur in a search.
+
+    Attributes
+    ----------
+    restarts : int
+        How often a replica may restart and lose its pause.
+    may_vanish : bool
+        A crashed member may be unlisted and never return.
+    may_return : bool
+        A crashed member may be unlisted and return with its log.
+    may_partition : bool
+        Members may be partitioned from the others together.
+    may_be_hidden : bool
+        The coordinator may be unable to reach a primary that its replicas
+        reach.
+    no_restart_after_order : bool
+        No replica restarts between an order and its effect.
+    may_partition_replica : bool
+        A replica may be partitioned alone.
     """
 
     restarts: int = 0
-    may_go: bool = False
+    may_vanish: bool = False
     may_return: bool = False
-    may_cut: bool = False
-    may_hide: bool = False
-    spares_ordered: bool = False
-    may_lose_replica: bool = False
+    may_partition: bool = False
+    may_be_hidden: bool = False
+    no_restart_after_order: bool = False
+    may_partition_replica: bool = False
 
 
 class Member(NamedTuple):
     """A member and its log.
 
-    Reads see the first ``applied`` commits: a replica applies nothing
-    here, which is the worst that it may do. ``is_dropped``: off the
-    registry's list; ``is_forgotten``: known to be gone, so that nobody
-    waits for its word.
+    Reads see the first ``applied`` commits. Replicas apply nothing in this
+    model, which is the worst case. ``is_hidden``: the coordinator can't
+    reach the member, but its replicas can. ``is_unlisted``: it is off the
+    registry's list. ``is_off_roster``: it is known to be gone, so that its
+    answer is not needed.
     """
 
     is_primary: bool
     term: int
     log: tuple[Commit, ...] = ()
     paused_for: int = 0
-    is_dark: bool = False
-    is_cut: bool = False
+    is_down: bool = False
+    is_partitioned: bool = False
     is_hidden: bool = False
     has_restarted: bool = False
     applied: int = 0
-    is_dropped: bool = False
-    is_forgotten: bool = False
+    is_unlisted: bool = False
+    is_off_roster: bool = False
 
     @property
     def head(self) -> tuple[int, int]:
-        """Return the log's end; terms go before lengths."""
+        """Return the log's last position: its term, then its length."""
         if not self.log:
             return (0, 0)
         return (self.log[-1][1], len(self.log))
 
     @property
     def is_reachable(self) -> bool:
-        """Return whether the conductor reaches the member."""
-        return not (self.is_dark or self.is_cut or self.is_hidden)
+        """Return whether the coordinator reaches the member."""
+        return not (self.is_down or self.is_partitioned or self.is_hidden)
 
     def take_log(self, primary: "Member") -> "Member":
-        """Return the replica with a primary's log; the rest is dropped."""
+        """Return the replica with a primary's log in place of its own."""
         common = 0
         for mine, theirs in zip(self.log, primary.log):
             if mine != theirs:
@@ -100,20 +130,20 @@
         )
 
     def receives_from(self, primary: "Member") -> bool:
-        """Say whether the member takes commits from a primary."""
+        """Return whether the member receives commits from a primary."""
         return (
             not self.is_primary
-            and not self.is_dark
-            and self.is_cut == primary.is_cut
+            and not self.is_down
+            and self.is_partitioned == primary.is_partitioned
             and self.paused_for <= primary.term
             and self.term <= primary.term
         )
 
 
-class Conductor(NamedTuple):
-    """A takeover under way; ``old`` and ``chosen`` are members.
+class Coordinator(NamedTuple):
+    """A takeover under way; ``old`` and ``chosen`` are members' numbers.
 
-    ``old`` is None where nobody leads.
+    ``old`` is the primary to replace, None if there is none.
     """
 
     term: int
@@ -126,34 +156,38 @@
 
 
 class Pending(NamedTuple):
-    """A commit that a primary has acknowledged and no writer knows of yet.
+    """A commit that a primary has acknowledged, but its writer's VM hasn't.
 
-    ``is_late``: the primary had been replaced by then.
+    ``is_stale``: the primary had been replaced by then.
     """
 
     commit: Commit
     primary: int
-    is_late: bool
+    is_stale: bool
 
 
 class Read(NamedTuple):
-    """A read: where it ran, what it had to see, what it lacked.
+    """A read: where it runs, the commits it must see and those it missed.
 
-    ``is_proven``: a replica has vouched for the member; ``is_claimed``: the
-    member has said that it leads.
+    ``is_proven``: a replica has confirmed the member as primary.
+    ``is_primary_confirmed``: the member has reported that it leads.
     """
 
     member: int
     term: int
     must_see: frozenset[Commit]
     has_run: bool = False
-    lacks: frozenset[Commit] = frozenset()
+    missing: frozenset[Commit] = frozenset()
     is_proven: bool = False
-    is_claimed: bool = False
+    is_primary_confirmed: bool = False
 
 
 class TakeoverState(NamedTuple):
-    """Everything; ``wrong`` says what has gone wrong."""
+    """State of the whole model.
+
+    ``violation`` is the violated invariant, or empty. ``early_proof`` is the
+    member and term that a replica confirmed before the read began.
+    """
 
     members: tuple[Member, ...]
     acknowledged: frozenset[Commit] = frozenset()
@@ -161,20 +195,20 @@
     commits: int = 0
     takeovers: int = 0
     restarts: int = 0
-    has_cut: bool = False
-    conductor: Conductor | None = None
+    has_partitioned: bool = False
+    coordinator: Coordinator | None = None
     early_proof: tuple[int, int] | None = None
     read: Read | None = None
-    wrong: str = ""
+    violation: str = ""
 
-    def put(self, number: int, member: Member) -> "TakeoverState":
+    def with_member(self, number: int, member: Member) -> "TakeoverState":
         """Return the state with one member changed."""
         members = list(self.members)
         members[number] = member
         return self._replace(members=tuple(members))
 
     def newest_primary(self) -> Member | None:
-        """Return who leads in the highest term."""
+        """Return the primary of the highest term, or None."""
         leading = (member for member in self.members if member.is_primary)
         return max(leading, key=lambda member: member.term, default=None)
 
@@ -184,11 +218,11 @@
 
 
 def first_state() -> TakeoverState:
-    """Return a calm group of three."""
+    """Return a healthy group of three members."""
     members = (Member(True, 1), Member(False, 1), Member(False, 1))
     return TakeoverState(members)
 
 
-def what_is_wrong(state: TakeoverState) -> str:
-    """Return what has gone wrong, or an empty string."""
-    return state.wrong
+def find_violation(state: TakeoverState) -> str:
+    """Return the invariant that a state violates, or an empty string."""
+    return state.violation
--- a/redwingpost/verify/tests/test_search.py
+++ b/redwingpost/verify/tests/test_search.py
@@ -1,7 +1,7 @@
-"""The protocol searched whole within small bounds, and broken variants.
+"""Complete searches of the protocol within small bounds, and variants.
 
-Each case says how many states it visited, so that a bound that shrank
-unnoticed shows in the log of the run.
+Each case prints how many states it visited, so that an unintended smaller
+search shows in the output of the run.
 """
 
 from unittest import TestCase
@@ -23,10 +23,11 @@
 
 
 class CompleteSearchTest(TestCase):
-    """A primary is lost, claimed, cut off or slow at any moment.
+    """A primary crashes, is claimed, partitioned or slow at any moment.
 
-    Messages are lost, late or doubled, processes pause, crash and come
-    back. Callers would notice a lost, doubled or falsely denied write.
+    Messages are lost, late or duplicated; processes pause, crash and
+    restart. Callers would notice a write that is lost, runs twice, or is
+    reported as not run although it ran.
     """
 
     def test_no_promise_breaks(self):
@@ -44,17 +45,17 @@
                 self.assertTrue(found.complete)
 
 
-#: A write commits on a primary that two others have already replaced.
+#: Steps after which a write has committed on a primary that was replaced.
 REPLACED = (
     "p0 starts",
     "p0/1 claims b",
     "p0/1 claims c",
-    "p0 hears of b's claim",
-    "p0 hears of c's claim",
+    "p0 receives b's claim answer",
+    "p0 receives c's claim answer",
     "p0 grace over",
     "w0 sends to a",
     "a gets w0's attempt 1",
-    "w0 hears 1:2",
+    "w0 gets position 1:2",
     "c promoted by p0/1",
 )
 
@@ -62,9 +63,9 @@
 class FateTest(TestCase):
     """A write committed on a replaced primary; then a second promotion.
 
-    Its caller is told what the new term's history says. Told too early,
-    an order is called dropped and sent again while the old primary's
-    log may still come back, or called stored while it may yet go.
+    The new term's history decides the write's fate. Decided too early, the
+    write counts as dropped and is retried while the old primary's log may
+    still be restored, or counts as stored and is dropped later.
     """
 
     def check(self, rules, limit):
@@ -73,7 +74,7 @@
         state = replay(initial_state(bounds), model.steps, REPLACED)
         return search(state, model.steps, violation, limit)
 
-    def test_fate_is_told_in_time(self):
+    def test_fate_is_decided_in_time(self):
         found = self.check(Rules(), 60_000)
         print(f"searched {found.states} states: a replaced primary's write")
         self.assertEqual(found.violation, "", found.trace)
@@ -84,7 +85,7 @@
 
 
 class BrokenVariantTest(TestCase):
-    """Each rule left out breaks a promise, and the search finds how."""
+    """The search finds a violation when any rule is disabled."""
 
     def test_each_rule_is_needed(self):
         promotion = Bounds(3, (1,), (True,), 1)
--- a/redwingpost/verify/tests/test_takeover.py
+++ b/redwingpost/verify/tests/test_takeover.py
@@ -1,7 +1,7 @@
-"""Takeovers and proven reads searched, and each guard switched off.
+"""Searches of takeovers and proven reads, also with rules disabled.
 
-Each case prints how many states it visited, so that a bound that shrank
-unnoticed shows in the log of the run.
+Each case prints how many states it visited, so that an unintended smaller
+search shows in the output of the run.
 """
 
 from unittest import TestCase
@@ -10,201 +10,220 @@
 from redwingpost.verify.takeover import (
     TakeoverModel,
     TakeoverRules,
+    find_violation,
     first_state,
-    what_is_wrong,
 )
 
-#: States of a search that can't be whole within the time of a test run.
+#: States to visit in a search that can't be complete within the time of a
+#: test run.
 _LIMIT = 110_000
 
-#: The same where what a guard prevents lies deeper.
+#: The same for a violation that takes more steps to reach.
 _READ_LIMIT = 300_000
 
-#: VMs ask whether commits are kept, and primaries whether they lead, only
-#: in doubt. Where there is none the other guards must do.
-_WITHOUT_DOUBT = TakeoverRules(confirms_commits=False, asks_leader=False)
+#: Rules without the confirmation of commits and of primaries, which are
+#: requested only while a takeover may be under way. Otherwise the other
+#: rules must be sufficient.
+_WITHOUT_CONFIRMATIONS = TakeoverRules(
+    confirms_commits=False, asks_primary=False
+)
 
 
-def _wrong_read(state) -> str:
-    return state.wrong if "read" in state.wrong else ""
+def _read_violation(state) -> str:
+    return state.violation if "read" in state.violation else ""
 
 
-def _wrong_write(state) -> str:
-    return state.wrong if "read" not in state.wrong else ""
+def _write_violation(state) -> str:
+    return state.violation if "read" not in state.violation else ""
 
 
-def _wrong_log(state) -> str:
-    return state.wrong if "lost" in state.wrong else ""
+def _log_violation(state) -> str:
+    return state.violation if "lost" in state.violation else ""
 
 
 class TakeoverSearchTest(TestCase):
-    """Primaries are lost, replaced twice, and told late.
+    """Primaries crash, are replaced twice, and step down late.
 
-    Conductors die half way, replicas follow late, a reader asks whoever
-    it takes for the primary. A caller would notice a lost commit, or a
-    read that lacks what others were told is kept.
+    Coordinators crash during a takeover, replicas follow late, and a reader
+    has an outdated primary. A caller would notice a lost commit, or a read
+    that lacks an acknowledged one.
     """
 
     def test_no_promise_breaks(self) -> None:
         model = TakeoverModel(TakeoverRules())
-        found = search(first_state(), model.steps, what_is_wrong)
+        found = search(first_state(), model.steps, find_violation)
         print(f"searched {found.states} states: takeovers and reads")
         self.assertEqual("", found.violation, found.trace)
         self.assertTrue(found.complete)
 
-    def test_no_promise_breaks_where_nobody_is_in_doubt(self) -> None:
-        model = TakeoverModel(_WITHOUT_DOUBT)
-        found = search(first_state(), model.steps, what_is_wrong)
-        print(f"searched {found.states} states: without doubt")
+    def test_invariants_hold_without_confirmations(self) -> None:
+        model = TakeoverModel(_WITHOUT_CONFIRMATIONS)
+        found = search(first_state(), model.steps, find_violation)
+        print(f"searched {found.states} states: without confirmations")
         self.assertEqual("", found.violation, found.trace)
         self.assertTrue(found.complete)
 
     def test_nothing_is_lost_when_a_member_is_off_the_list(self) -> None:
         """A primary crashes for good while one replica receives nothing.
 
-        The other leads, and then seems to need a successor as well. Of
-        those that are left only the deaf one can be asked.
+        The other replica leads and is then to be replaced as well. Of the
+        remaining members only the one without the commits answers.
         """
-        model = TakeoverModel(TakeoverRules(), may_go=True)
-        found = search(first_state(), model.steps, _wrong_log, _LIMIT)
+        model = TakeoverModel(TakeoverRules(), may_vanish=True)
+        found = search(first_state(), model.steps, _log_violation, _LIMIT)
         print(
             f"searched {found.states} states, not all: a member off the list"
         )
         self.assertEqual("", found.violation, found.trace)
 
     def test_nothing_is_lost_when_a_gone_member_comes_back(self) -> None:
-        """A crashed member falls off the list, and starts again later.
+        """A crashed member is dropped from the list and returns later.
 
-        Unpaused, it confirms commits to a primary that is just about to
-        be replaced by a replica that lacks them; their callers were told
-        that they are kept.
+        It isn't paused and confirms commits to a primary that is just being
+        replaced by a replica that lacks them, so that acknowledged commits
+        would be lost.
         """
-        model = TakeoverModel(TakeoverRules(), may_go=True, may_return=True)
-        found = search(first_state(), model.steps, _wrong_log, _LIMIT)
+        model = TakeoverModel(
+            TakeoverRules(), may_vanish=True, may_return=True
+        )
+        found = search(first_state(), model.steps, _log_violation, _LIMIT)
         print(f"searched {found.states} states, not all: one comes back")
         self.assertEqual("", found.violation, found.trace)
 
     def test_reads_stay_true_when_replicas_forget_a_pause(self) -> None:
-        """A paused replica starts again and takes commits once more.
+        """A paused replica restarts and receives commits again.
 
-        A commit that it confirms then may be lost with the old primary
-        (that window is named in the design note); reads must not lie.
+        A commit that it confirms then may be lost with the old primary (the
+        design note describes this gap). Reads must still see every
+        acknowledged commit.
         """
         model = TakeoverModel(TakeoverRules(), restarts=1)
-        found = search(first_state(), model.steps, _wrong_read, _LIMIT)
+        found = search(first_state(), model.steps, _read_violation, _LIMIT)
         print(f"searched {found.states} states, not all: with a restart")
         self.assertEqual("", found.violation, found.trace)
 
     def test_nothing_is_lost_whatever_else_happens(self) -> None:
-        """Members are cut off together, start again, or are out of reach.
+        """Members are partitioned together, restart, or are hidden.
 
-        Two behind one cut go on acknowledging. A replica that starts again
-        has forgotten its pause. A VM that has just started knows nothing
-        of what went before. A caller would miss a write that was kept.
+        Two members behind one partition go on acknowledging commits. A
+        replica that restarts loses its pause. A VM that has just started
+        has no earlier reports. A caller would miss an acknowledged write.
         """
         cases = (
-            ("two behind a cut", {"may_cut": True}),
+            ("two behind a partition", {"may_partition": True}),
             ("a restart at any step", {"restarts": 1}),
             (
-                "a restart, and a primary out of reach",
-                {"restarts": 1, "may_hide": True},
+                "a restart, and a hidden primary",
+                {"restarts": 1, "may_be_hidden": True},
             ),
         )
-        for name, moves in cases:
+        for name, faults in cases:
             with self.subTest(name):
-                model = TakeoverModel(TakeoverRules(), **moves)
-                found = search(first_state(), model.steps, _wrong_log, _LIMIT)
+                model = TakeoverModel(TakeoverRules(), **faults)
+                found = search(
+                    first_state(), model.steps, _log_violation, _LIMIT
+                )
                 print(f"searched {found.states} states, not all: {name}")
                 self.assertEqual("", found.violation, found.trace)
 
     def test_a_replaced_primary_acknowledges_nothing(self) -> None:
-        """Guards against writes told as kept by a primary out of reach.
+        """Guards against writes acknowledged by a hidden primary.
 
-        A replica that forgets its pause confirms them, before or after the
+        A replica that has lost its pause confirms them, before or after the
         promotion takes effect.
         """
-        moves = {"restarts": 1, "may_hide": True}
-        model = TakeoverModel(TakeoverRules(), **moves)
-        found = search(first_state(), model.steps, _wrong_write, _LIMIT)
-        print(f"searched {found.states} states, not all: writers are told")
+        faults = {"restarts": 1, "may_be_hidden": True}
+        model = TakeoverModel(TakeoverRules(), **faults)
+        found = search(first_state(), model.steps, _write_violation, _LIMIT)
+        print(f"searched {found.states} states, not all: acknowledgements")
         self.assertEqual("", found.violation, found.trace)
 
     def test_reads_stay_true_when_a_replica_is_cut_off(self) -> None:
         """Guards against a proof by a replica that missed a takeover."""
-        model = TakeoverModel(TakeoverRules(), may_lose_replica=True)
-        found = search(first_state(), model.steps, _wrong_read, _READ_LIMIT)
-        print(f"searched {found.states} states, not all: a replica cut off")
+        model = TakeoverModel(TakeoverRules(), may_partition_replica=True)
+        found = search(
+            first_state(), model.steps, _read_violation, _READ_LIMIT
+        )
+        print(
+            f"searched {found.states} states, not all: a replica partitioned"
+        )
         self.assertEqual("", found.violation, found.trace)
 
     def test_each_guard_is_needed(self) -> None:
         cases = (
             ("pauses_others", 0),
             ("checks_complete", 0),
-            ("heeds_pause", 0),
-            ("asks_after_read", 0),
-            ("distrusts_restarted", 1),
+            ("respects_pause", 0),
+            ("proves_after_start", 0),
+            ("excludes_restarted", 1),
         )
         for guard, restarts in cases:
             with self.subTest(guard):
-                rules = _WITHOUT_DOUBT._replace(**{guard: False})
+                rules = _WITHOUT_CONFIRMATIONS._replace(**{guard: False})
                 model = TakeoverModel(rules, restarts)
-                invariant = _wrong_read if restarts else what_is_wrong
+                invariant = _read_violation if restarts else find_violation
                 found = search(first_state(), model.steps, invariant)
                 self.assertTrue(found.violation)
 
-    def test_each_guard_of_whom_callers_are_told_is_needed(self) -> None:
-        hidden = {"restarts": 1, "may_hide": True}
-        cut_off = {"may_lose_replica": True}
+    def test_each_confirmation_is_needed(self) -> None:
+        hidden = {"restarts": 1, "may_be_hidden": True}
+        cut_off = {"may_partition_replica": True}
         cases = (
             ("confirms_commits", "is lost", hidden),
             ("confirms_commits", "when replaced", hidden),
-            ("asks_leader", "a read", cut_off),
+            ("asks_primary", "a read", cut_off),
         )
-        for guard, wrong, moves in cases:
-            with self.subTest(guard, wrong=wrong):
-                model = TakeoverModel(TakeoverRules(**{guard: False}), **moves)
+        for guard, violation, faults in cases:
+            with self.subTest(guard, violation=violation):
+                model = TakeoverModel(
+                    TakeoverRules(**{guard: False}), **faults
+                )
                 found = search(
                     first_state(),
                     model.steps,
-                    lambda state, wrong=wrong: (
-                        state.wrong if wrong in state.wrong else ""
+                    lambda state, violation=violation: (
+                        state.violation if violation in state.violation else ""
                     ),
                 )
                 self.assertTrue(found.violation)
 
     def test_the_floor_is_needed_when_a_member_is_off_the_list(self) -> None:
         rules = TakeoverRules(checks_floor=False)
-        model = TakeoverModel(rules, may_go=True)
-        found = search(first_state(), model.steps, _wrong_log)
+        model = TakeoverModel(rules, may_vanish=True)
+        found = search(first_state(), model.steps, _log_violation)
         self.assertTrue(found.violation)
 
     def test_each_guard_against_silent_members_is_needed(self) -> None:
-        returns = {"may_go": True, "may_return": True}
+        returns = {"may_vanish": True, "may_return": True}
         out_of_reach = {
             "restarts": 1,
-            "may_hide": True,
-            "spares_ordered": True,
+            "may_be_hidden": True,
+            "no_restart_after_order": True,
         }
         cases = (
-            ("counts_dropped", {"may_cut": True}, True),
-            ("counts_dropped", returns, True),
+            ("counts_unlisted", {"may_partition": True}, True),
+            ("counts_unlisted", returns, True),
             ("stops_first", {"restarts": 1}, True),
-            # Alone, without what confirms commits besides.
-            ("asks_again", out_of_reach, False),
+            # Without the confirmation of commits, which would hide it.
+            ("repeats_pause", out_of_reach, False),
         )
-        for guard, moves, confirms in cases:
-            with self.subTest(guard, **moves):
+        for guard, faults, confirms in cases:
+            with self.subTest(guard, **faults):
                 rules = TakeoverRules(
                     **{guard: False}, confirms_commits=confirms
                 )
-                model = TakeoverModel(rules, **moves)
-                found = search(first_state(), model.steps, _wrong_log)
+                model = TakeoverModel(rules, **faults)
+                found = search(first_state(), model.steps, _log_violation)
                 self.assertTrue(found.violation)
 
     def test_asking_again_is_enough_until_the_order(self) -> None:
-        moves = {"restarts": 1, "may_hide": True, "spares_ordered": True}
+        faults = {
+            "restarts": 1,
+            "may_be_hidden": True,
+            "no_restart_after_order": True,
+        }
         rules = TakeoverRules(confirms_commits=False)
-        model = TakeoverModel(rules, **moves)
-        found = search(first_state(), model.steps, _wrong_log, _LIMIT)
+        model = TakeoverModel(rules, **faults)
+        found = search(first_state(), model.steps, _log_violation, _LIMIT)
         print(f"searched {found.states} states, not all: until the order")
         self.assertEqual("", found.violation, found.trace)
--- a/redwingpost/verify/tests/test_walk.py
+++ b/redwingpost/verify/tests/test_walk.py
@@ -1,4 +1,4 @@
-"""Random walks through the protocol, beyond the bounds of the search."""
+"""Random walks through the protocol, with larger bounds than the search."""
 
 from operator import itemgetter
 from random import Random
@@ -20,7 +20,7 @@
     violation,
 )
 
-#: Fixed seeds, so that a red run is red again.
+#: Fixed seeds, so that a failed run can be repeated.
 WALKS = settings(
     max_examples=40,
     stateful_step_count=4,
@@ -30,16 +30,16 @@
     suppress_health_check=list(HealthCheck),
 )
 
-#: A violation that is expected needn't be made small first.
+#: An expected violation need not be shrunk.
 UNSHRUNK = settings(WALKS, phases=(Phase.generate,), max_examples=200)
 
 
-#: Steps from one choice of Hypothesis to the next.
+#: Steps of the model for each rule call of Hypothesis.
 STRIDE = 25
 
 
 class Walk(RuleBasedStateMachine):
-    """Several callers and proposers at once, any step at any time."""
+    """Several writers and proposers at once; any step at any time."""
 
     rules_in_force = Rules()
 
@@ -54,10 +54,10 @@
         self.state = initial_state(bounds)
 
     @rule(seed=strategies.integers(0, 2**32))
-    def act(self, seed):
+    def run_steps(self, seed):
         random = Random(seed)
         for _ in range(STRIDE):
-            # Sets iterate in another order in each process.
+            # The iteration order of sets differs between processes.
             steps = sorted(self.model.steps(self.state), key=itemgetter(0))
             if not steps:
                 return
@@ -66,7 +66,7 @@
 
 
 class WithoutConfirm(Walk):
-    """The same walk while writes are acknowledged at once."""
+    """The same walk with writes acknowledged without confirmation."""
 
     rules_in_force = Rules(confirm=False)
 
@@ -74,8 +74,8 @@
 class WalkTest(TestCase):
     """Two promotions, several writers, five members: too many states.
 
-    A fault that needs two promotions would show to callers as a write
-    that was acknowledged and is gone after the second.
+    A fault that needs two promotions would show to callers as an
+    acknowledged write that is lost after the second one.
     """
 
     def test_promises_hold(self):
