--- a/redwingpost/node/service.py
+++ b/redwingpost/node/service.py
@@ -27,7 +27,7 @@
 from redwingpost.node.forwarding.channel import Channels
 from redwingpost.node.forwarding.forwarder import Forwarder
 from redwingpost.node.forwarding.homes import HomeView
-from redwingpost.node.forwarding.peer import HomeParts
+from redwingpost.node.forwarding.peer import HomeDependencies
 from redwingpost.node.forwarding.server import HomeServer
 from redwingpost.node.group import DRAIN_WORK_FRACTION, GroupClient
 from redwingpost.node.metrics import NodeMetrics
@@ -38,7 +38,7 @@
 from redwingpost.node.request.writes import WriteRunner
 from redwingpost.node.settings import NodeSettings
 from redwingpost.node.steps import repeat
-from redwingpost.node.takeover.conductor import Outside as TakeoverOutside
+from redwingpost.node.takeover.coordinator import TakeoverDependencies
 from redwingpost.node.takeover.duty import DutyKeeper
 from redwingpost.node.takeover.keeper import TakeoverKeeper
 from redwingpost.node.takeover.leader_view import LeaderViews
@@ -162,7 +162,7 @@
         self._home_server = HomeServer(
             settings.ip,
             settings.heartbeat_port,
-            HomeParts(
+            HomeDependencies(
                 self.group_by_name,
                 self._services.reads,
                 self._services.writes,
@@ -249,7 +249,7 @@
         )
 
     def _try_takeovers(self) -> None:
-        self._takeovers.try_soon()
+        self._takeovers.retry_now()
 
     def _make_fleet_parts(self) -> None:
         settings = self.settings
@@ -297,7 +297,7 @@
             self._vms,
             LeaderViews(self._vms, self._centres, self._is_registry_lost),
             self.metrics,
-            TakeoverOutside(
+            TakeoverDependencies(
                 self.directory,
                 ports.links,
                 ports.orders,
@@ -403,7 +403,7 @@
     async def _run_checks(self) -> None:
         self._update_tables()
         self._update_readiness()
-        self._takeovers.look_at_all()
+        self._takeovers.check_all()
         self._copy_fetcher.fetch_if_behind()
 
     def _update_tables(self) -> None:
@@ -440,7 +440,7 @@
 
     def _on_members(self) -> None:
         self._sync_groups()
-        self._rosters.look_soon()
+        self._rosters.check_now()
 
     def _sync_groups(self) -> None:
         """Update the groups from the directory and the rules."""
