--- a/redwingpost/bench/callers.py
+++ b/redwingpost/bench/callers.py
@@ -11,12 +11,12 @@
 from asyncmy import connect
 from asyncmy.errors import Error as MySQLError
 
-from redwingpost.bench.history import Operation, Verdict
+from redwingpost.bench.history import AttemptResult, Operation
 from redwingpost.bench.statements import (
     DEADLINE_MS,
     JOB_DEADLINE_MS,
     Answer,
-    Target,
+    StatementValues,
     parse_answer,
     render,
     render_marks,
@@ -66,7 +66,7 @@
 class Outcome(NamedTuple):
     """How one attempt ended."""
 
-    verdict: Verdict
+    verdict: AttemptResult
     code: int = 0
     answer: Answer | None = None
     detail: str = ""
@@ -77,7 +77,7 @@
 
     operation: Operation
     kind: str
-    target: Target
+    target: StatementValues
     max_staleness_ms: int = 0
 
 
@@ -120,7 +120,7 @@
                 return await self._send(proxy, request)
         except TimeoutError:
             self._drop(proxy.vm)
-            return Outcome(Verdict.LOST, detail="no answer in time")
+            return Outcome(AttemptResult.LOST, detail="no answer in time")
 
     async def _send(self, proxy: ProxyEndpoint, request: Request) -> Outcome:
         if self.vm and self.vm != proxy.vm:
@@ -131,17 +131,19 @@
         except MySQLError as error:
             return _not_connected(error)
         except (OSError, EOFError, TimeoutError) as error:
-            return Outcome(Verdict.REFUSED, CONNECT_FAILED, None, repr(error))
+            return Outcome(
+                AttemptResult.REFUSED, CONNECT_FAILED, None, repr(error)
+            )
         await sleep(self._delay_s)
         try:
             answer = await self._run(connection, request)
-            outcome = Outcome(Verdict.ANSWERED, answer=answer)
+            outcome = Outcome(AttemptResult.ANSWERED, answer=answer)
         except MySQLError as error:
             outcome = _failed(error)
         except (OSError, EOFError) as error:
-            outcome = Outcome(Verdict.LOST, detail=repr(error))
+            outcome = Outcome(AttemptResult.LOST, detail=repr(error))
         await sleep(self._delay_s)
-        if outcome.verdict is not Verdict.ANSWERED:
+        if outcome.verdict is not AttemptResult.ANSWERED:
             await self._clean_up(proxy.vm, connection, request, outcome)
         return outcome
 
@@ -203,7 +205,7 @@
         """Leave no transaction open after a failure inside one."""
         if outcome.code == Code.POSITION_LOST.number:
             self._start_afresh()
-        elif outcome.verdict is Verdict.LOST:
+        elif outcome.verdict is AttemptResult.LOST:
             self._drop(vm)
         elif request.operation is Operation.PAIR:
             try:
@@ -238,11 +240,11 @@
     number = _number(error)
     if number in CLIENT_ERRORS:
         number = CONNECT_FAILED
-    return Outcome(Verdict.REFUSED, number, None, str(error))
+    return Outcome(AttemptResult.REFUSED, number, None, str(error))
 
 
 def _failed(error: MySQLError) -> Outcome:
     number = _number(error)
     if number == 0 or number in CLIENT_ERRORS:
-        return Outcome(Verdict.LOST, detail=str(error))
-    return Outcome(Verdict.REFUSED, number, None, str(error))
+        return Outcome(AttemptResult.LOST, detail=str(error))
+    return Outcome(AttemptResult.REFUSED, number, None, str(error))
--- a/redwingpost/bench/checks/__init__.py
+++ b/redwingpost/bench/checks/__init__.py
@@ -1,9 +1,9 @@
-"""Checks of a run against the promises, registered by promise."""
+"""Checks of a finished run, registered by the promise they verify."""
 
 from redwingpost.bench.checks.grants import (
     WITHDRAWAL_GRACE_S,
     over_rate_by_organisation,
-    statements_of,
+    token_cost,
 )
 from redwingpost.bench.checks.reads import check_read_your_writes
 from redwingpost.bench.checks.registry import CHECKS, CLOCK_TOLERANCE_S
@@ -16,5 +16,5 @@
     "check_at_most_once",
     "check_read_your_writes",
     "over_rate_by_organisation",
-    "statements_of",
+    "token_cost",
 ]
--- a/redwingpost/bench/checks/reads.py
+++ b/redwingpost/bench/checks/reads.py
@@ -1,15 +1,15 @@
-"""Checks of what sessions read."""
+"""Checks of what sessions read: read-your-writes, order and age."""
 
 from collections import defaultdict
 from collections.abc import Iterator
 
 from redwingpost.bench.checks.registry import CHECKS, CLOCK_TOLERANCE_S
-from redwingpost.bench.history import Attempt, Operation, Run, Verdict
+from redwingpost.bench.history import Attempt, AttemptResult, Operation, Run
 from redwingpost.core import Code
 
 
 def _by_document(run: Run) -> dict[tuple, list[Attempt]]:
-    """Group the attempts on documents by organisation and document."""
+    """Group attempts by organisation, database group and document."""
     attempts_by_document = defaultdict(list)
     for attempt in run.attempts:
         if attempt.document:
@@ -22,31 +22,31 @@
     return [
         a
         for a in attempts
-        if a.operation.writes and a.verdict is Verdict.ANSWERED
+        if a.operation.writes and a.verdict is AttemptResult.ANSWERED
     ]
 
 
 def _answered_reads(attempts: list[Attempt]) -> list[Attempt]:
     reads = (a for a in attempts if a.operation.reads and a.seen)
-    return [a for a in reads if a.verdict is Verdict.ANSWERED]
+    return [a for a in reads if a.verdict is AttemptResult.ANSWERED]
 
 
-def _newest(edits: list[Attempt], before: float) -> int:
-    """Return the highest revision acknowledged by ``before``."""
-    revisions = (e.revision for e in edits if e.received_at <= before)
+def _newest_revision(edits: list[Attempt], until: float) -> int:
+    """Return the highest revision acknowledged up to a time."""
+    revisions = (e.revision for e in edits if e.received_at <= until)
     return max(revisions, default=0)
 
 
 @CHECKS.register("read-your-writes")
 def check_read_your_writes(run: Run) -> Iterator[str]:
-    """A session's read shows every edit it was acknowledged before."""
+    """A read shows every edit acknowledged to its session before."""
     for attempts in _by_document(run).values():
         edits = _acknowledged_edits(attempts)
         for read in _answered_reads(attempts):
             if read.operation is Operation.READ_TOLERANT:
                 continue
-            own = [e for e in edits if e.session == read.session]
-            expected = _newest(own, read.sent_at)
+            own_edits = [e for e in edits if e.session == read.session]
+            expected = _newest_revision(own_edits, read.sent_at)
             if read.seen.revision < expected:
                 yield (
                     f"{read.request} by {read.session} through "
@@ -57,30 +57,30 @@
 
 @CHECKS.register("monotone-reads")
 def check_monotone_reads(run: Run) -> Iterator[str]:
-    """A session never sees a document go back.
+    """A session never reads an older revision than it has read before.
 
-    A caller told "position lost" knows that it has to start afresh, so
-    that what it saw before counts no more.
+    The refusal "position lost" tells the caller that its session starts
+    anew: reads before it don't bind later ones.
     """
-    last_reset = {}
+    resets_by_session = {}
     for attempt in run.attempts:
         if attempt.code == Code.POSITION_LOST.number:
             key = (attempt.organisation, attempt.session)
-            last_reset.setdefault(key, []).append(attempt.received_at)
+            resets_by_session.setdefault(key, []).append(attempt.received_at)
     for (organisation, _, document), attempts in _by_document(run).items():
         reads_by_session = defaultdict(list)
         for read in _answered_reads(attempts):
             if read.operation is not Operation.READ_TOLERANT:
                 reads_by_session[read.session].append(read)
         for session, reads in reads_by_session.items():
-            resets = last_reset.get((organisation, session), [])
+            resets = resets_by_session.get((organisation, session), [])
             yield from _backward_reads(reads, resets, document)
 
 
 def _backward_reads(
     reads: list[Attempt], resets: list[float], document: str
 ) -> Iterator[str]:
-    """Yield the reads that saw less than an earlier one of theirs."""
+    """Yield the reads older than an earlier read of their session."""
     highest: Attempt | None = None
     for read in sorted(reads, key=lambda r: r.sent_at):
         if highest is None or any(
@@ -101,14 +101,17 @@
 
 @CHECKS.register("stated-age")
 def check_stated_age(run: Run) -> Iterator[str]:
-    """A tolerant read shows what was acknowledged longer ago than that."""
+    """A tolerant read is at most ``max_staleness_ms`` old.
+
+    It shows every edit that was acknowledged longer ago than that.
+    """
     for attempts in _by_document(run).values():
         edits = _acknowledged_edits(attempts)
         for read in _answered_reads(attempts):
             if read.operation is not Operation.READ_TOLERANT:
                 continue
             age_s = read.max_staleness_ms / 1000.0 + CLOCK_TOLERANCE_S
-            expected = _newest(edits, read.sent_at - age_s)
+            expected = _newest_revision(edits, read.sent_at - age_s)
             if read.seen.revision < expected:
                 yield (
                     f"{read.request} saw revision {read.seen.revision} of "
--- a/redwingpost/bench/checks/writes.py
+++ b/redwingpost/bench/checks/writes.py
@@ -1,15 +1,15 @@
-"""Checks of what the targets hold against what callers were told."""
+"""Checks of the targets' final contents against the answers."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterator
 
-from redwingpost.bench.checks.registry import CHECKS, answered
+from redwingpost.bench.checks.registry import CHECKS, answered_attempts
 from redwingpost.bench.history import (
     Attempt,
     Operation,
     OrderRow,
     Run,
-    said_not_run,
+    reported_not_run,
 )
 
 
@@ -23,7 +23,7 @@
 
 @CHECKS.register("at-most-once")
 def check_at_most_once(run: Run) -> Iterator[str]:
-    """An order, keyed or not, stands in the targets at most once."""
+    """An order, with or without a key, is stored at most once."""
     for row, times in _stored_orders(run).items():
         if times > 1:
             yield (
@@ -36,8 +36,8 @@
     return (1, 2) if attempt.operation is Operation.PAIR else (1,)
 
 
-def _stored_requests(run: Run) -> set[tuple[str, str]]:
-    """Return organisation and request of everything that is stored."""
+def _stored_request_names(run: Run) -> set[tuple[str, str]]:
+    """Return organisation and request of every stored row."""
     stored = {(r.organisation, r.request) for r in _stored_orders(run)}
     for contents in run.contents_by_group.values():
         stored.update((e.organisation, e.request) for e in contents.edits)
@@ -46,10 +46,10 @@
 
 @CHECKS.register("acknowledged-is-kept")
 def check_acknowledged(run: Run) -> Iterator[str]:
-    """What was acknowledged is in the targets at the end, whole."""
+    """Acknowledged writes are completely stored at the end."""
     orders = _stored_orders(run)
-    stored = _stored_requests(run)
-    for attempt in answered(run):
+    stored = _stored_request_names(run)
+    for attempt in answered_attempts(run):
         if not attempt.operation.writes:
             continue
         name = (attempt.organisation, attempt.request)
@@ -67,15 +67,15 @@
 
 @CHECKS.register("not-run-is-true")
 def check_not_run(run: Run) -> Iterator[str]:
-    """What every answer called "not run" is nowhere in the targets."""
-    stored = _stored_requests(run)
+    """A write is not stored if all its attempts ended as "not run"."""
+    stored = _stored_request_names(run)
     attempts_by_request = defaultdict(list)
     for attempt in run.attempts:
         if attempt.operation.writes:
             name = (attempt.organisation, attempt.request)
             attempts_by_request[name].append(attempt)
     for name, attempts in attempts_by_request.items():
-        if name in stored and all(said_not_run(a) for a in attempts):
+        if name in stored and all(reported_not_run(a) for a in attempts):
             codes = sorted({a.code for a in attempts})
             yield f"{name[1]} of {name[0]} is stored after codes {codes}"
 
--- a/redwingpost/bench/compare.py
+++ b/redwingpost/bench/compare.py
@@ -1,10 +1,10 @@
-"""Compare two runs' measures, for before and after in a commit body."""
+"""Compares the measures of two runs, before and after a change."""
 
 from typing import Any, NamedTuple
 
 
 class Difference(NamedTuple):
-    """One measure before and after; ``change`` only of numbers."""
+    """One measure before and after; ``change`` is for numbers."""
 
     name: str
     before: Any
@@ -13,7 +13,7 @@
 
 
 def flatten(measures: dict[str, Any], prefix: str = "") -> dict[str, Any]:
-    """Return nested measures under dotted names; lists as lengths.
+    """Return nested measures under dotted names, lists as lengths.
 
     Examples
     --------
@@ -32,7 +32,7 @@
 
 
 def compare(before: dict[str, Any], after: dict[str, Any]) -> list[Difference]:
-    """Return every measure that either run has.
+    """Compare every measure that either run has.
 
     Examples
     --------
--- a/redwingpost/bench/history.py
+++ b/redwingpost/bench/history.py
@@ -1,7 +1,7 @@
 """The history of a run: what callers sent and what they received.
 
-Every statement carries the request's name, and every answer repeats it,
-so that the checks need nothing but this record and the targets' final
+Every statement carries its request's name and every answer repeats it,
+so that the checks need only the history and the targets' final
 contents. Times are seconds on the load generator's monotonic clock.
 """
 
@@ -13,7 +13,7 @@
 
 
 class Operation(Enum):
-    """What a request does; the load generator has one form for each."""
+    """What a request does; :mod:`.statements` has the SQL of each."""
 
     READ_OWN = "read-own"
     READ_SHARED = "read-shared"
@@ -48,7 +48,7 @@
 _WRITING = _ORDERING | {Operation.EDIT, Operation.EDIT_SHARED}
 
 
-class Verdict(Enum):
+class AttemptResult(Enum):
     """How an attempt ended for its caller."""
 
     ANSWERED = "answered"
@@ -56,8 +56,8 @@
     LOST = "lost"
 
 
-class Seen(NamedTuple):
-    """What an answer's row held."""
+class ReadRow(NamedTuple):
+    """The row that a read returned; ``answers`` names its request."""
 
     answers: str
     organisation: str
@@ -66,11 +66,11 @@
 
 
 class Attempt(NamedTuple):
-    """One statement (or transaction) that a caller sent once.
+    """One sending of a statement or transaction by a caller.
 
-    ``request`` stays the same over the attempts of one request;
-    ``due_at`` is when the open-loop schedule wanted it, ``code`` the
-    error number of a refusal. ``credential`` names the key used.
+    All attempts of one request have the same ``request``. ``due_at`` is
+    the time that the open-loop schedule gave the request, ``code`` the
+    error number of a refusal, and ``credential`` the name of the key.
     """
 
     request: str
@@ -88,14 +88,14 @@
     due_at: float
     sent_at: float
     received_at: float
-    verdict: Verdict
+    verdict: AttemptResult
     code: int = 0
-    seen: Seen | None = None
+    seen: ReadRow | None = None
     detail: str = ""
 
 
 class OrderRow(NamedTuple):
-    """A row of ``orders`` as a target holds it at the end."""
+    """A row of ``orders`` in a target's final contents."""
 
     organisation: str
     request: str
@@ -103,7 +103,7 @@
 
 
 class EditRow(NamedTuple):
-    """A row of ``edits`` as a target holds it at the end."""
+    """A row of ``edits`` in a target's final contents."""
 
     organisation: str
     document: str
@@ -112,14 +112,14 @@
 
 
 class Contents(NamedTuple):
-    """One group's final contents."""
+    """The final contents of one database group."""
 
     orders: tuple[OrderRow, ...]
     edits: tuple[EditRow, ...]
 
 
 class Grant(NamedTuple):
-    """What an organisation was granted over the whole fleet."""
+    """The rate, burst and groups of an organisation, fleet-wide."""
 
     rate: float
     burst: float
@@ -127,11 +127,11 @@
 
 
 class Run(NamedTuple):
-    """A finished run, whole: the input of every check.
+    """A finished run: the input of every check.
 
     ``withdrawn_at`` gives, by organisation and credential, when the
-    withdrawal was accepted; a credential that was never granted stands
-    there with minus infinity.
+    withdrawal was accepted. A credential that was never granted has
+    minus infinity.
     """
 
     attempts: tuple[Attempt, ...]
@@ -140,30 +140,30 @@
     withdrawn_at: dict[tuple[str, str], float]
 
 
-#: MySQL errors by which a member says that nothing was stored: too many
+#: MySQL errors of a member that mean that nothing was stored: too many
 #: connections, access denied, shutting down, lock wait timeout,
 #: deadlock, read-only.
-_NOTHING_STORED = frozenset({1040, 1045, 1053, 1205, 1213, 1290})
+_NOT_RUN_MYSQL_ERRORS = frozenset({1040, 1045, 1053, 1205, 1213, 1290})
 
-_SAID_NOT_RUN = frozenset({Outcome.NOT_RUN, Outcome.ROLLED_BACK})
+_NOT_RUN_OUTCOMES = frozenset({Outcome.NOT_RUN, Outcome.ROLLED_BACK})
 
 
-def said_not_run(attempt: Attempt) -> bool:
-    """Say whether the caller was told that nothing was stored."""
-    if attempt.verdict is not Verdict.REFUSED:
+def reported_not_run(attempt: Attempt) -> bool:
+    """Tell whether the attempt's error means that nothing was stored."""
+    if attempt.verdict is not AttemptResult.REFUSED:
         return False
     code = CODES_BY_NUMBER.get(attempt.code)
     if code is None:
-        return attempt.code in _NOTHING_STORED
-    return code.outcome in _SAID_NOT_RUN
+        return attempt.code in _NOT_RUN_MYSQL_ERRORS
+    return code.outcome in _NOT_RUN_OUTCOMES
 
 
-#: Characters of padding in a body: long enough that a cut answer shows.
+#: Characters of padding in a body, enough to detect a truncated answer.
 _PADDING = 64
 
 
 def make_body(request: str, revision: int) -> str:
-    """Return the body an edit stores; a reader can check it alone.
+    """Return an edit's body, which readers can verify by itself.
 
     Examples
     --------
@@ -173,13 +173,13 @@
     >>> is_whole(body), is_whole(body[:-1])
     (True, False)
     """
-    mark = f"{revision:08d}|{request}|"
-    digest = f"{crc32(mark.encode()):08x}"
-    return mark + digest * (_PADDING // len(digest))
+    header = f"{revision:08d}|{request}|"
+    digest = f"{crc32(header.encode()):08x}"
+    return header + digest * (_PADDING // len(digest))
 
 
 def is_whole(body: str) -> bool:
-    """Say whether a body is one that some edit stored, unharmed."""
+    """Tell whether a body is a complete one of :func:`make_body`."""
     parts = body.split("|")
     if len(parts) != 3 or not parts[0].isdigit():
         return False
@@ -197,10 +197,10 @@
 
 def from_record(record: dict[str, Any]) -> Attempt:
     """Return the attempt that :func:`to_record` wrote."""
-    seen = Seen(*record["seen"]) if record["seen"] else None
+    seen = ReadRow(*record["seen"]) if record["seen"] else None
     changes = {
         "operation": Operation(record["operation"]),
-        "verdict": Verdict(record["verdict"]),
+        "verdict": AttemptResult(record["verdict"]),
         "seen": seen,
     }
     return Attempt(**{**record, **changes})
--- a/redwingpost/bench/hotpath.py
+++ b/redwingpost/bench/hotpath.py
@@ -1,8 +1,9 @@
-"""What one proxy process costs: per statement, per idle connection.
+"""Measures the cost of a proxy process, per statement and connection.
 
-A group's stand-in with service times of zero, one proxy, and drivers in
-this process. Processor time is the proxy's own, from ``/proc``, so the
-figures hold also where the drivers are the slowest part.
+The setup is one stand-in of a database group with service times of
+zero, one proxy, and client connections in this process. Processor time
+is the proxy's own, from ``/proc``, so the figures are valid even where
+the clients are the bottleneck.
 
 Run it by ``python -m redwingpost.bench.hotpath``; nothing else should
 load the machine meanwhile.
@@ -29,25 +30,25 @@
 PROXY_IP = "127.1.1.201"
 MEMBER_IPS = ("127.1.101.201", "127.2.101.201", "127.3.101.201")
 
-#: Rate that no run comes near, so that admission refuses nothing.
-AMPLE = 1_000_000.0
+#: Rate and burst that no run reaches, so that admission refuses nothing.
+UNLIMITED_RATE = 1_000_000.0
 
-#: Seconds of each measurement, and of the idle wait before memory counts.
-RUN_S = 4.0
+#: Seconds of each measurement, and of the wait before memory is read.
+MEASUREMENT_S = 4.0
 SETTLE_S = 2.0
 
-#: Connections opened at a time; more would only queue at the handshake.
-DIAL_BATCH = 64
+#: Connections opened at a time; more would queue at the handshake.
+DIAL_BATCH_SIZE = 64
 
-#: Connections that carry the load while the others are idle.
-ACTIVE = 10
+#: Connections that send statements while the others are idle.
+ACTIVE_CONNECTIONS = 10
 
-START_LIMIT_S = 20.0
-READ = "SELECT name FROM plans WHERE id = 7"
+START_TIMEOUT_S = 20.0
+READ_SQL = "SELECT name FROM plans WHERE id = 7"
 
 
-class Load(NamedTuple):
-    """What one load measured; latency in ms, processor time in µs."""
+class LoadResult(NamedTuple):
+    """Figures of one measurement; latency in ms, processor time in µs."""
 
     statements_per_s: float
     p50_ms: float
@@ -57,14 +58,14 @@
 
 
 class Site:
-    """A stand-in and a proxy as children.
+    """A group's stand-in and a proxy, run as child processes.
 
     Parameters
     ----------
     directory : Path
-        Where settings and logs go.
+        Where settings and logs are written.
     organisations, groups : int
-        How many the configuration holds; one of each is used.
+        How many the configuration has; only one of each is used.
     """
 
     def __init__(
@@ -79,7 +80,7 @@
         self.proxy: Any = None
 
     async def start(self) -> None:
-        """Start both and wait until a caller is served."""
+        """Start both and wait until the proxy answers a statement."""
         group, proxy = self.write_files()
         await self.children.start(
             "standin",
@@ -88,13 +89,15 @@
         self.proxy = await self.children.start(
             "proxy", ["redwingpost.cli.proxy", "--settings", proxy]
         )
-        driver = await self._first_caller()
-        await ask(driver, "CREATE TABLE plans (id INT PRIMARY KEY, name TEXT)")
-        await ask(driver, "INSERT INTO plans VALUES (7, 'lesson')")
-        driver.close()
+        connection = await self._connect_when_ready()
+        await run_query(
+            connection, "CREATE TABLE plans (id INT PRIMARY KEY, name TEXT)"
+        )
+        await run_query(connection, "INSERT INTO plans VALUES (7, 'lesson')")
+        connection.close()
 
     async def stop(self) -> None:
-        """Stop both."""
+        """Stop the proxy and the stand-in."""
         for name in self.children.names():
             await self.children.end(name, planned=True)
 
@@ -125,20 +128,20 @@
         line = next(x for x in text.splitlines() if x.startswith("VmRSS"))
         return int(line.split()[1])
 
-    async def _first_caller(self) -> Connection:
-        give_up_at = perf_counter() + START_LIMIT_S
+    async def _connect_when_ready(self) -> Connection:
+        deadline_at = perf_counter() + START_TIMEOUT_S
         while True:
             try:
-                driver = await self.dial()
-                await ask(driver, "SELECT 1 FROM (SELECT 1) one")
-                return driver
+                connection = await self.dial()
+                await run_query(connection, "SELECT 1 FROM (SELECT 1) one")
+                return connection
             except (MySQLError, OSError):
-                if perf_counter() > give_up_at:
+                if perf_counter() > deadline_at:
                     raise
                 await sleep(0.2)
 
     def write_files(self) -> tuple[str, str]:
-        """Write settings and configuration; return the settings' paths."""
+        """Write all files; return the paths of both settings files."""
         members = "\n".join(
             f'[members.m-{number}]\nip = "{ip}"\nport = {self.member_port}'
             for number, ip in enumerate(MEMBER_IPS)
@@ -208,150 +211,161 @@
                 "hash": sha1(sha1(key.encode()).digest()).hexdigest(),
             }
         ],
-        "rate": AMPLE,
-        "burst": AMPLE,
+        "rate": UNLIMITED_RATE,
+        "burst": UNLIMITED_RATE,
         "weight": 1.0,
         "groups": [GROUP],
     }
 
 
-async def ask(driver: Connection, sql: str) -> list:
+async def run_query(connection: Connection, sql: str) -> list:
     """Run a statement and return its rows."""
-    async with driver.cursor() as cursor:
+    async with connection.cursor() as cursor:
         await cursor.execute(sql)
         return list(await cursor.fetchall())
 
 
 async def _repeat(
-    driver: Connection, until: float, times: HdrHistogram, pause_s: float
+    connection: Connection,
+    end_at: float,
+    histogram: HdrHistogram,
+    pause_s: float,
 ) -> None:
-    async with driver.cursor() as cursor:
-        while perf_counter() < until:
-            began = perf_counter()
-            await cursor.execute(READ)
+    async with connection.cursor() as cursor:
+        while perf_counter() < end_at:
+            started_at = perf_counter()
+            await cursor.execute(READ_SQL)
             await cursor.fetchall()
-            times.record_value(int((perf_counter() - began) * 1e6))
+            histogram.record_value(int((perf_counter() - started_at) * 1e6))
             if pause_s:
                 await sleep(pause_s)
 
 
 async def measure(
-    site: Site, drivers: list[Connection], pause_s: float = 0.0
-) -> Load:
-    """Load the drivers for ``RUN_S``; each pauses after an answer."""
-    times = HdrHistogram(1, 60_000_000, 3)
-    cpu_s, began = site.proxy.cpu_s(), perf_counter()
-    until = began + RUN_S
-    await gather(*(_repeat(one, until, times, pause_s) for one in drivers))
-    elapsed_s = perf_counter() - began
+    site: Site, connections: list[Connection], pause_s: float = 0.0
+) -> LoadResult:
+    """Send statements on all connections for ``MEASUREMENT_S``.
+
+    Each connection pauses for ``pause_s`` after an answer.
+    """
+    histogram = HdrHistogram(1, 60_000_000, 3)
+    cpu_s, started_at = site.proxy.cpu_s(), perf_counter()
+    end_at = started_at + MEASUREMENT_S
+    await gather(
+        *(_repeat(one, end_at, histogram, pause_s) for one in connections)
+    )
+    elapsed_s = perf_counter() - started_at
     cpu_s = site.proxy.cpu_s() - cpu_s
-    count = max(1, times.get_total_count())
-    return Load(
+    count = max(1, histogram.get_total_count())
+    return LoadResult(
         count / elapsed_s,
-        times.get_value_at_percentile(50) / 1000,
-        times.get_value_at_percentile(99) / 1000,
+        histogram.get_value_at_percentile(50) / 1000,
+        histogram.get_value_at_percentile(99) / 1000,
         cpu_s / count * 1e6,
         count / cpu_s if cpu_s else 0.0,
     )
 
 
-async def _dial_many(site: Site, count: int) -> list[Connection]:
-    drivers: list[Connection] = []
-    while len(drivers) < count:
-        batch = min(DIAL_BATCH, count - len(drivers))
-        found = await gather(*(site.dial() for _ in range(batch)))
-        drivers.extend(found)
-    return drivers
+async def _open_connections(site: Site, count: int) -> list[Connection]:
+    connections: list[Connection] = []
+    while len(connections) < count:
+        batch = min(DIAL_BATCH_SIZE, count - len(connections))
+        opened = await gather(*(site.dial() for _ in range(batch)))
+        connections.extend(opened)
+    return connections
 
 
-async def _with_site(work: Any, **sizes: int) -> Any:
+async def _with_site(measurement: Any, **sizes: int) -> Any:
     with TemporaryDirectory(prefix="redwing-hotpath-") as name:
         site = Site(Path(name), **sizes)
         try:
             await site.start()
-            return await work(site)
+            return await measurement(site)
         finally:
             await site.stop()
 
 
 async def latency_and_rate(site: Site) -> dict[str, Any]:
-    """Compare the proxy with a direct connection, idle and full."""
-    through = await _dial_many(site, ACTIVE)
-    direct = [await site.dial_member() for _ in range(ACTIVE)]
-    full = await measure(site, through)
-    pause_s = 2 * ACTIVE / full.statements_per_s
-    half = await measure(site, through, pause_s)
-    plain = await measure(site, direct, pause_s)
-    _close(through + direct)
+    """Compare the proxy with direct connections, at full and half load."""
+    proxied = await _open_connections(site, ACTIVE_CONNECTIONS)
+    direct = [await site.dial_member() for _ in range(ACTIVE_CONNECTIONS)]
+    full = await measure(site, proxied)
+    pause_s = 2 * ACTIVE_CONNECTIONS / full.statements_per_s
+    half = await measure(site, proxied, pause_s)
+    direct_half = await measure(site, direct, pause_s)
+    _close(proxied + direct)
     return {
         "full": full._asdict(),
         "half_load": half._asdict(),
-        "direct_at_half_load": plain._asdict(),
-        "added_p50_ms": half.p50_ms - plain.p50_ms,
-        "added_p99_ms": half.p99_ms - plain.p99_ms,
+        "direct_at_half_load": direct_half._asdict(),
+        "added_p50_ms": half.p50_ms - direct_half.p50_ms,
+        "added_p99_ms": half.p99_ms - direct_half.p99_ms,
     }
 
 
-def _idle(count: int) -> Any:
-    async def work(site: Site) -> dict[str, Any]:
-        active = await _dial_many(site, ACTIVE)
+def _measure_with_idle(count: int) -> Any:
+    async def measurement(site: Site) -> dict[str, Any]:
+        active = await _open_connections(site, ACTIVE_CONNECTIONS)
         await measure(site, active)
         before_kb = site.proxy_rss_kb()
-        idle = await _dial_many(site, count)
+        idle = await _open_connections(site, count)
         await sleep(SETTLE_S)
-        grown_kb = site.proxy_rss_kb() - before_kb
+        growth_kb = site.proxy_rss_kb() - before_kb
         load = await measure(site, active)
         _close(active + idle)
         return {
             "idle_connections": count,
-            "kb_per_idle_connection": grown_kb / count if count else 0.0,
+            "kb_per_idle_connection": growth_kb / count if count else 0.0,
             **load._asdict(),
         }
 
-    return work
+    return measurement
 
 
-async def _active_load(site: Site) -> dict[str, Any]:
-    active = await _dial_many(site, ACTIVE)
+async def _measure_active(site: Site) -> dict[str, Any]:
+    active = await _open_connections(site, ACTIVE_CONNECTIONS)
     load = await measure(site, active)
     _close(active)
     return load._asdict()
 
 
-def _close(drivers: list[Connection]) -> None:
-    for driver in drivers:
-        driver.close()
+def _close(connections: list[Connection]) -> None:
+    for connection in connections:
+        connection.close()
 
 
 async def profile(idle: tuple[int, ...]) -> dict[str, Any]:
-    """Run every measurement, one after another."""
-    found: dict[str, Any] = {"one": await _with_site(latency_and_rate)}
-    found["by_idle_connections"] = [
-        await _with_site(_idle(count)) for count in idle
+    """Run all measurements one after another."""
+    results: dict[str, Any] = {"one": await _with_site(latency_and_rate)}
+    results["by_idle_connections"] = [
+        await _with_site(_measure_with_idle(count)) for count in idle
     ]
-    found["by_organisations"] = [
-        {"organisations": n, **await _with_site(_active_load, organisations=n)}
+    results["by_organisations"] = [
+        {
+            "organisations": n,
+            **await _with_site(_measure_active, organisations=n),
+        }
         for n in (8, 1000)
     ]
-    found["by_groups"] = [
-        {"groups": n, **await _with_site(_active_load, groups=n)}
+    results["by_groups"] = [
+        {"groups": n, **await _with_site(_measure_active, groups=n)}
         for n in (3, 100)
     ]
-    return found
+    return results
 
 
 def main(
-    json: Annotated[
-        Path | None, Option(help="Write the figures here.")
-    ] = None,
-    connections: Annotated[int, Option(help="Most idle ones.")] = 10_000,
+    json: Annotated[Path | None, Option(help="File for the results")] = None,
+    connections: Annotated[
+        int, Option(help="Highest number of idle connections")
+    ] = 10_000,
 ) -> None:
-    """Measure one proxy process.
+    """Measure the cost of one proxy process.
 
     Example: python -m redwingpost.bench.hotpath --json hotpath.json
     """
-    found = run(profile((0, connections // 10, connections)))
-    text = dumps(found, indent=2)
+    results = run(profile((0, connections // 10, connections)))
+    text = dumps(results, indent=2)
     if json is not None:
         json.write_text(text + "\n")
     echo(text)
--- a/redwingpost/bench/layout.py
+++ b/redwingpost/bench/layout.py
@@ -187,7 +187,7 @@
     """Return the rules that put data centres their distance apart."""
     networks = [_network(n + 1) for n in range(len(site.data_centres))]
     return [
-        LinkRule(source, target, "delay", site.between_delay_ms)
+        LinkRule(source, target, "delay", site.data_centre_delay_ms)
         for source in networks
         for target in networks
         if source != target
--- a/redwingpost/bench/load.py
+++ b/redwingpost/bench/load.py
@@ -16,9 +16,9 @@
     ProxyEndpoint,
     Request,
 )
-from redwingpost.bench.history import Attempt, Operation, Verdict
+from redwingpost.bench.history import Attempt, AttemptResult, Operation
 from redwingpost.bench.schedule import Arrival
-from redwingpost.bench.statements import SHARED_DOCUMENTS, Target
+from redwingpost.bench.statements import SHARED_DOCUMENTS, StatementValues
 
 #: Probability that a session's next request goes to another proxy.
 ROAM = 0.15
@@ -148,7 +148,7 @@
             shared = (arrival.organisation, arrival.group, document)
             self._shared_revisions[shared] += 1
             revision = self._shared_revisions[shared]
-        target = Target(
+        target = StatementValues(
             arrival.request, arrival.organisation, document, revision
         )
         return Request(
@@ -216,11 +216,13 @@
     so any request may go to the next. An unknown outcome is only asked
     for again under the same idempotency key, or for a read.
     """
-    if outcome.verdict is Verdict.ANSWERED:
+    if outcome.verdict is AttemptResult.ANSWERED:
         return False
     if outcome.code in GO_ELSEWHERE or outcome.code == CONNECT_FAILED:
         return number < ELSEWHERE_ATTEMPTS
-    unknown = outcome.verdict is Verdict.LOST or outcome.code in _UNKNOWN_CODES
+    unknown = (
+        outcome.verdict is AttemptResult.LOST or outcome.code in _UNKNOWN_CODES
+    )
     return (
         unknown
         and operation is Operation.KEYED_ORDER
--- a/redwingpost/bench/measures.py
+++ b/redwingpost/bench/measures.py
@@ -1,8 +1,8 @@
-"""The measures of a run, as the JSON that ``--json`` writes.
+"""The measures of a run, as written by ``--json``.
 
-Rates, refusals and latencies come from what callers received. What
-callers can't see (which member served a read, processor time, control
-bytes) is counted outside the proxies and handed in as `Counts`.
+Rates, refusals and latencies are computed from what callers received.
+What callers can't see (which member served a read, processor time,
+control bytes) is counted outside the proxies and passed as `Counts`.
 """
 
 from collections import Counter
@@ -11,7 +11,7 @@
 from hdrh.histogram import HdrHistogram
 
 from redwingpost.bench.checks import CHECKS, over_rate_by_organisation
-from redwingpost.bench.history import Attempt, Operation, Run, Verdict
+from redwingpost.bench.history import Attempt, AttemptResult, Operation, Run
 from redwingpost.bench.oracle import Violation
 from redwingpost.bench.service import (
     fates,
@@ -20,16 +20,17 @@
 )
 from redwingpost.bench.sites import Site
 
-#: Histogram range: 1 microsecond to 60 s with three digits.
+#: Histogram range, 1 µs to 60 s, and its significant digits.
 _MIN_US, _MAX_US, _DIGITS = 1, 60_000_000, 3
 
 
 class Counts(NamedTuple):
-    """What was counted beside the history; None where it was not.
+    """Counts that the history lacks; None where nothing was counted.
 
-    Reads are those that members served; ``control_bytes`` are the
-    bytes that agents and proxies exchanged among themselves and with
-    the platform, over all VMs.
+    Reads are those that members served. ``lost_at`` is when the primary
+    of ``lost_group`` was lost. ``control_bytes`` are the bytes that
+    agents and proxies exchanged among themselves and with the platform,
+    over all VMs.
     """
 
     duration_s: float = 0.0
@@ -48,7 +49,7 @@
 
 
 class Latency(TypedDict):
-    """Milliseconds from the time a request was due to its answer."""
+    """Milliseconds from a request's due time to its answer."""
 
     p50: float
     p99: float
@@ -56,7 +57,7 @@
 
 
 class Measures(TypedDict):
-    """One run's measures; see docs/design/bench.md for each."""
+    """The measures of one run; docs/design/bench.md defines them."""
 
     scenario: str
     site: str
@@ -88,24 +89,27 @@
 
 
 def failover_gap(run: Run, group: str, lost_at: float) -> float | None:
-    """Return seconds from the loss to the first acknowledged write.
+    """Return seconds from a primary's loss to the next acknowledged write.
 
-    Only writes sent after the loss count: one that was under way may
-    have been answered by the primary that is gone.
+    Only writes sent after the loss count: an earlier one may have been
+    answered by the lost primary.
     """
     acknowledged = [
         attempt.received_at
         for attempt in run.attempts
         if attempt.group == group
         and attempt.operation.writes
-        and attempt.verdict is Verdict.ANSWERED
+        and attempt.verdict is AttemptResult.ANSWERED
         and attempt.sent_at >= lost_at
     ]
     return min(acknowledged) - lost_at if acknowledged else None
 
 
 def _under_valid_keys(run: Run) -> tuple[Attempt, ...]:
-    """Leave out callers whose key was withdrawn: refusing them is right."""
+    """Return the attempts whose key was valid throughout the run.
+
+    Refusing a withdrawn key is correct and no wrongful refusal.
+    """
     return tuple(
         attempt
         for attempt in run.attempts
@@ -114,28 +118,28 @@
 
 
 def withdrawal_in_force(run: Run) -> float | None:
-    """Return seconds until withdrawn keys served nothing any more.
+    """Return seconds until all proxies refused the withdrawn keys.
 
-    Counted from the acceptance to the sending of the last request that
-    was still answered; None where no key was withdrawn.
+    Counted from the acceptance of a withdrawal to the sending of the
+    last request that was answered; None if no key was withdrawn.
     """
     if not run.withdrawn_at:
         return None
-    late = [
+    delays_s = [
         attempt.sent_at - run.withdrawn_at[name]
         for attempt in run.attempts
         if (name := (attempt.organisation, attempt.credential))
         in run.withdrawn_at
-        and attempt.verdict is Verdict.ANSWERED
+        and attempt.verdict is AttemptResult.ANSWERED
     ]
-    return round(max([0.0, *late]), 3)
+    return round(max([0.0, *delays_s]), 3)
 
 
 def latency_ms(run: Run) -> Latency:
-    """Return quantiles over the answered attempts, long jobs apart."""
+    """Return quantiles over the answered attempts except long jobs."""
     histogram = HdrHistogram(_MIN_US, _MAX_US, _DIGITS)
     for attempt in run.attempts:
-        if attempt.verdict is not Verdict.ANSWERED:
+        if attempt.verdict is not AttemptResult.ANSWERED:
             continue
         if attempt.operation is Operation.JOB:
             continue
@@ -151,9 +155,9 @@
 def refusals_by_code(run: Run) -> dict[str, int]:
     """Count the attempts without an answer by code, or as ``lost``."""
     codes = Counter(
-        "lost" if attempt.verdict is Verdict.LOST else str(attempt.code)
+        "lost" if attempt.verdict is AttemptResult.LOST else str(attempt.code)
         for attempt in run.attempts
-        if attempt.verdict is not Verdict.ANSWERED
+        if attempt.verdict is not AttemptResult.ANSWERED
     )
     return dict(sorted(codes.items()))
 
@@ -182,20 +186,20 @@
     violations: list[Violation],
     counts: Counts,
 ) -> Measures:
-    """Work out every measure of a finished run.
+    """Compute all measures of a finished run.
 
     Parameters
     ----------
     scenario, seed, policy : str, int, str
-        Names of the run.
+        Identify the run.
     site : Site
-        Its weights by request kind apply.
+        The site of the run, with its weights by request kind.
     run : Run
         The history with the targets' final contents.
     violations : list of Violation
-        What the oracle found in it.
+        The oracle's findings.
     counts : Counts
-        What callers can't see.
+        Counts that the history lacks.
 
     Returns
     -------
@@ -210,7 +214,7 @@
     ratios = [service.ratio for service in services.values()]
     wrongful = sum(service.wrongful for service in services.values())
     entitled = sum(service.entitled for service in services.values())
-    statements = sum(a.verdict is Verdict.ANSWERED for a in run.attempts)
+    statements = sum(a.verdict is AttemptResult.ANSWERED for a in run.attempts)
     gap = None
     if counts.lost_at is not None:
         gap = failover_gap(run, counts.lost_group, counts.lost_at)
--- a/redwingpost/bench/naive.py
+++ b/redwingpost/bench/naive.py
@@ -1,9 +1,10 @@
-"""The baseline: a proxy that does the obvious and no more.
+"""The baseline for comparisons: a proxy without any of the features.
 
-Every statement goes to the primary, found by asking the members in the
-order of the configuration, over a connection of its own. Each VM holds
-an organisation to an equal part of its rate. Nothing is confirmed,
-deduplicated, queued or retried; positions and tokens mean nothing.
+Every statement goes to the primary over a connection of its own. The
+primary is found by querying the members' status in the order of the
+configuration. Each VM limits an organisation to an equal part of its
+rate. Nothing is confirmed, deduplicated, queued or retried; positions
+and tokens are ignored.
 """
 
 from pathlib import Path
@@ -32,25 +33,25 @@
 from redwingpost.proxy.http import StatusServer
 from redwingpost.settings import Settings, load_settings
 
-#: VMs over which the rates are divided, once and for all.
-VMS = 6
+#: Fixed number of VMs over which the rates are divided.
+VM_COUNT = 6
 
-#: Seconds to wait for a connection and for an answer.
-DIAL_LIMIT_S = 1.0
-ANSWER_LIMIT_S = 5.0
+#: Timeouts of a connection attempt and of a statement, in seconds.
+DIAL_TIMEOUT_S = 1.0
+ANSWER_TIMEOUT_S = 5.0
 
 _EMPTY = StatementResult((), (), 0, 0)
-_LOCAL = re_compile(r"\s*(SET\b|SELECT\s+@@)", IGNORECASE)
+_ANSWERED_LOCALLY = re_compile(r"\s*(SET\b|SELECT\s+@@)", IGNORECASE)
 _BEGIN = re_compile(r"\s*(BEGIN|START\s+TRANSACTION)\b", IGNORECASE)
 _END = re_compile(r"\s*(COMMIT|ROLLBACK)\b", IGNORECASE)
 
 
-class Bucket:
+class TokenBucket:
     """A token bucket on one VM, full at the start.
 
     Examples
     --------
-    >>> bucket = Bucket(rate=1.0, burst=1.0, now=0.0)
+    >>> bucket = TokenBucket(rate=1.0, burst=1.0, now=0.0)
     >>> bucket.take(0.0), bucket.take(0.5), bucket.take(1.5)
     (True, False, True)
     """
@@ -58,22 +59,22 @@
     def __init__(self, rate: float, burst: float, now: float) -> None:
         self._rate = rate
         self._burst = burst
-        self._level = burst
-        self._at = now
+        self._tokens = burst
+        self._updated_at = now
 
     def take(self, now: float) -> bool:
         """Take one token if there is one; ``now`` in seconds."""
-        gained = (now - self._at) * self._rate
-        self._level = min(self._burst, self._level + gained)
-        self._at = now
-        if self._level < 1.0:
+        gained = (now - self._updated_at) * self._rate
+        self._tokens = min(self._burst, self._tokens + gained)
+        self._updated_at = now
+        if self._tokens < 1.0:
             return False
-        self._level -= 1.0
+        self._tokens -= 1.0
         return True
 
 
 class NaiveProxy(Service):
-    """Listens for callers and passes each statement to a primary."""
+    """Serves callers and forwards each statement to a primary."""
 
     def __init__(self, settings: Settings) -> None:
         super().__init__()
@@ -85,13 +86,18 @@
         )
         now = monotonic()
         self.buckets_by_organisation = {
-            name: Bucket(granted.rate / VMS, granted.burst / VMS, now)
+            name: TokenBucket(
+                granted.rate / VM_COUNT, granted.burst / VM_COUNT, now
+            )
             for name, granted in (
                 self.configuration.organisations_by_name.items()
             )
         }
         self._callers = CallerServer(
-            settings.vm.ip, settings.proxy.caller_port, self, self._make
+            settings.vm.ip,
+            settings.proxy.caller_port,
+            self,
+            self._make_session,
         )
         self._http = StatusServer(
             settings.vm.ip,
@@ -109,7 +115,7 @@
             return ()
         return tuple(key.key_hash for key in granted.keys_by_name.values())
 
-    def _make(
+    def _make_session(
         self, organisation: str, key_hash: str, group: str, number: int
     ) -> "NaiveSession":
         return NaiveSession(self, organisation, group)
@@ -118,17 +124,17 @@
         mount_link_faults(application, self._faults)
 
     async def on_start(self) -> None:
-        """Open the callers' port and that for health checks."""
+        """Open the ports for callers and for health checks."""
         self._faults = install_link_faults(self._ip)
         await self.add_runtime_dependency(self._callers)
         await self.add_runtime_dependency(self._http)
 
     async def dial_primary(self, group: Group) -> Any:
-        """Connect to the first member that says it is the primary."""
+        """Connect to the first member whose reported role is primary."""
         for address in group.members_by_name.values():
             try:
-                connection = await self.dialler.dial(address, DIAL_LIMIT_S)
-                status = await connection.status(DIAL_LIMIT_S)
+                connection = await self.dialler.dial(address, DIAL_TIMEOUT_S)
+                status = await connection.status(DIAL_TIMEOUT_S)
             except (TargetError, TargetLost):
                 continue
             if status.role == "primary":
@@ -138,7 +144,7 @@
 
 
 class NaiveSession:
-    """One caller's connection."""
+    """The session of one caller's connection."""
 
     def __init__(
         self, proxy: NaiveProxy, organisation: str, group: str
@@ -146,17 +152,17 @@
         self._proxy = proxy
         self._organisation = organisation
         self._group = group
-        self._open: Any = None
+        self._transaction: Any = None
 
     @property
     def autocommit(self) -> bool:
-        """Say that each statement commits by itself."""
+        """Whether each statement commits by itself: always."""
         return True
 
     @property
     def in_transaction(self) -> bool:
-        """Say whether a transaction is open."""
-        return self._open is not None
+        """Whether a transaction is open."""
+        return self._transaction is not None
 
     async def use(self, group: str) -> Result[None, Refusal]:
         """Change the database group."""
@@ -164,12 +170,12 @@
         return Ok(None)
 
     async def reset(self) -> None:
-        """Drop an open transaction."""
+        """Abort an open transaction."""
         await self.close()
 
     async def close(self) -> None:
-        """Drop an open transaction."""
-        connection, self._open = self._open, None
+        """Abort an open transaction by closing its connection."""
+        connection, self._transaction = self._transaction, None
         if connection is not None:
             await connection.close()
 
@@ -179,12 +185,12 @@
         if read.is_error():
             return Error(read.error)
         sql = read.ok.sql
-        if _LOCAL.match(sql):
+        if _ANSWERED_LOCALLY.match(sql):
             return Ok(_EMPTY)
         refusal = self._refuse(sql)
         if refusal is not None:
             return Error(refusal)
-        connection = self._open
+        connection = self._transaction
         if connection is None:
             group = self._proxy.configuration.groups_by_name[self._group]
             connection = await self._proxy.dial_primary(group)
@@ -204,23 +210,23 @@
 
     async def _run(self, connection: Any, sql: str) -> Answer:
         try:
-            result = await connection.execute(sql, ANSWER_LIMIT_S)
+            result = await connection.execute(sql, ANSWER_TIMEOUT_S)
         except TargetError as error:
-            await self._let_go(connection, sql)
+            await self._release(connection, sql)
             return Error(MemberError(error.number, error.message))
         except TargetLost as lost:
-            await self._let_go(connection, "ROLLBACK")
+            await self._release(connection, "ROLLBACK")
             code = Code.OUTCOME_UNKNOWN if lost.sent else Code.TARGET_LOST
             return Error(Refusal(code))
-        await self._let_go(connection, sql)
+        await self._release(connection, sql)
         return Ok(result)
 
-    async def _let_go(self, connection: Any, sql: str) -> None:
-        """Keep the connection inside a transaction, else close it."""
+    async def _release(self, connection: Any, sql: str) -> None:
+        """Close the connection unless a transaction is open on it."""
         if _BEGIN.match(sql):
-            self._open = connection
-        elif self._open is None or _END.match(sql):
-            self._open = None
+            self._transaction = connection
+        elif self._transaction is None or _END.match(sql):
+            self._transaction = None
             await connection.close()
 
 
--- a/redwingpost/bench/oracle.py
+++ b/redwingpost/bench/oracle.py
@@ -1,8 +1,8 @@
-"""The oracle: checks a finished run against the promises.
+"""The test oracle: checks a finished run against the promises.
 
-It knows only what callers received and what the targets hold at the
-end. Each check is registered under the promise it guards and returns
-the violations it can prove; a doubtful case is never one.
+Its only input is what callers received and the targets' final contents.
+Each check is registered under the promise that it verifies. It reports
+only violations that it can prove, never an ambiguous case.
 """
 
 from typing import NamedTuple
@@ -12,14 +12,14 @@
 
 
 class Violation(NamedTuple):
-    """A promise that did not hold, and how one sees it."""
+    """A promise that was broken, and the evidence."""
 
     promise: str
     detail: str
 
 
 def find_violations(run: Run) -> list[Violation]:
-    """Return every violation that the checks can prove."""
+    """Run all checks and return the violations that they prove."""
     return [
         Violation(promise, detail)
         for promise, check in CHECKS.items()
--- a/redwingpost/bench/plots.py
+++ b/redwingpost/bench/plots.py
@@ -1,4 +1,4 @@
-"""Plots of runs' measures, drawn by matplotlib."""
+"""Bar charts of runs' measures, drawn by matplotlib."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -13,7 +13,7 @@
 
 
 class Plot(NamedTuple):
-    """One measure over the runs; None where a run has no value."""
+    """A chart of one measure; ``value`` is None if a run lacks it."""
 
     name: str
     title: str
@@ -48,31 +48,31 @@
     ),
 )
 
-#: Inches per scenario, and least height.
+#: Height per scenario and site, and minimum height, in inches.
 _INCHES_PER_ROW, _MIN_INCHES = 0.45, 2.5
 
 
 def draw(plot: Plot, runs: list[Measures], directory: Path) -> Path | None:
-    """Draw one measure as bars, a group per scenario and site.
+    """Draw the means of a measure as bars per scenario and site.
 
     Returns
     -------
     Path or None
-        The PNG file; None where no run has the measure.
+        The PNG file; None if no run has the measure.
     """
-    known = [run for run in runs if plot.value(run) is not None]
-    if not known:
+    measured = [run for run in runs if plot.value(run) is not None]
+    if not measured:
         return None
-    rows = sorted({f"{r['scenario']} · {r['site']}" for r in known})
-    policies = sorted({r["policy"] for r in known})
+    rows = sorted({f"{r['scenario']} · {r['site']}" for r in measured})
+    policies = sorted({r["policy"] for r in measured})
     height = max(_MIN_INCHES, _INCHES_PER_ROW * len(rows))
     figure = Figure(figsize=(9.0, height), layout="constrained")
     axes = figure.subplots()
     width = 0.8 / len(policies)
     for number, policy in enumerate(policies):
-        means = [_mean(plot, known, row, policy) for row in rows]
-        places = [index + number * width for index in range(len(rows))]
-        axes.barh(places, means, height=width, label=policy)
+        means = [_mean(plot, measured, row, policy) for row in rows]
+        offsets = [index + number * width for index in range(len(rows))]
+        axes.barh(offsets, means, height=width, label=policy)
     middle = 0.4 - width / 2.0
     axes.set_yticks([index + middle for index in range(len(rows))], rows)
     axes.set_xlabel(plot.title)
--- a/redwingpost/bench/perfect.py
+++ b/redwingpost/bench/reference.py
@@ -1,16 +1,17 @@
-"""The naive version for differential tests: one perfect database.
+"""The reference model for differential tests: a single database.
 
-One SQLite database, one thread, no replicas, no failures: what callers
-would see of redwingpost if nothing ever went wrong. Sessions are
-independent; a transaction is a list of statements that run at its
-commit or never, which is all that sessions with rows of their own need.
+One SQLite database in one thread, without replicas or failures: callers
+of redwingpost have to receive the same answers. Each session uses only
+rows of its own, so that sessions are independent and a transaction
+needs no isolation: its statements run at once and are undone at a
+rollback by restoring the session's rows.
 """
 
 from sqlite3 import IntegrityError, connect
 from typing import Any, NamedTuple
 
-#: MySQL's number of a duplicate key error.
-DUPLICATE = 1062
+#: MySQL's error number for a duplicate key.
+DUPLICATE_KEY_ERROR = 1062
 
 SCHEMA = (
     "CREATE TABLE lines (session VARCHAR(32) NOT NULL, line INT NOT NULL, "
@@ -19,19 +20,19 @@
 
 
 class Reply(NamedTuple):
-    """What a caller sees of a statement: rows, count, error number."""
+    """A statement's rows, affected rows and error number (0: none)."""
 
     rows: tuple[tuple[Any, ...], ...] = ()
     affected: int = 0
     error: int = 0
 
 
-class PerfectDatabase:
-    """Runs each session's statements at once and keeps what was seen.
+class ReferenceDatabase:
+    """Runs statements at once and keeps every state of the rows.
 
     Examples
     --------
-    >>> database = PerfectDatabase()
+    >>> database = ReferenceDatabase()
     >>> database.write("s", "INSERT INTO lines VALUES ('s', 1, 'a')")
     Reply(rows=(), affected=1, error=0)
     >>> database.read("s")
@@ -45,19 +46,19 @@
         self._states_by_session: dict[str, list[tuple]] = {}
 
     def write(self, session: str, sql: str, key: str = "") -> Reply:
-        """Run a write; a repeated idempotency key gets its first reply."""
+        """Run a write; a repeated idempotency key gets the first reply."""
         name = (session, key)
         if key and name in self._replies_by_key:
             return self._replies_by_key[name]
         try:
             reply = Reply(affected=self._database.execute(sql).rowcount)
         except IntegrityError:
-            # A failed statement leaves nothing behind, its idempotency
-            # record neither: the same key may be tried again.
-            return Reply(error=DUPLICATE)
+            # A failed statement stores nothing, not even its idempotency
+            # record, so that the same key may be sent again.
+            return Reply(error=DUPLICATE_KEY_ERROR)
         if key:
             self._replies_by_key[name] = reply
-        self._note(session)
+        self._record_state(session)
         return reply
 
     def read(self, session: str) -> tuple[tuple[Any, ...], ...]:
@@ -69,19 +70,19 @@
         return tuple(cursor.fetchall())
 
     def states(self, session: str) -> list[tuple]:
-        """Return every state that a session's rows were ever in."""
+        """Return all states of a session's rows so far."""
         return self._states_by_session.get(session, [()])
 
-    def _note(self, session: str) -> None:
+    def _record_state(self, session: str) -> None:
         states = self._states_by_session.setdefault(session, [()])
         states.append(self.read(session))
 
-    def fork(self, session: str) -> list[tuple]:
-        """Return a copy of a session's rows, to undo a write."""
+    def copy_rows(self, session: str) -> list[tuple]:
+        """Return a copy of a session's rows for :meth:`restore`."""
         return list(self.read(session))
 
     def restore(self, session: str, rows: list[tuple]) -> None:
-        """Put a session's rows back to an earlier copy."""
+        """Replace a session's rows by an earlier copy."""
         self._database.execute(
             "DELETE FROM lines WHERE session = ?", (session,)
         )
@@ -89,4 +90,4 @@
             "INSERT INTO lines VALUES (?, ?, ?)",
             [(session, *row) for row in rows],
         )
-        self._note(session)
+        self._record_state(session)
--- a/redwingpost/bench/report.py
+++ b/redwingpost/bench/report.py
@@ -1,4 +1,4 @@
-"""The report: all runs on one page, the users' four measures first."""
+"""The report of all runs as Markdown and HTML, with plots."""
 
 from base64 import b64encode
 from collections.abc import Iterable
@@ -11,10 +11,10 @@
 from redwingpost.bench.tables import COLUMNS, to_markdown
 
 _INTRODUCTION = (
-    "Judged by what callers received and by what the targets hold at the "
+    "Measured by what callers received and by what the targets hold at the "
     "end of each run. `redwingpost` is the product, `naive` a proxy that "
     "sends every statement to the primary over a connection of its own "
-    "and holds each organisation to a sixth of its rate on each VM."
+    "and limits each organisation to a sixth of its rate on each VM."
 )
 
 _STYLE = (
@@ -25,8 +25,8 @@
 )
 
 
-class Pages(NamedTuple):
-    """The files that a report consists of."""
+class ReportPaths(NamedTuple):
+    """Paths of the two pages of a report."""
 
     markdown: Path
     html: Path
@@ -34,21 +34,21 @@
 
 def write_report(
     runs: list[Measures], failures: list[str], directory: Path
-) -> Pages:
-    """Write the Markdown page with its plots, and one HTML page.
+) -> ReportPaths:
+    """Write a Markdown page with its plots, and a single HTML page.
 
     Parameters
     ----------
     runs : list of Measures
         In the order of the table.
     failures : list of str
-        Runs that did not come to their end, and why.
+        The names of runs that did not finish, with the errors.
     directory : Path
-        Where the files go; made if it isn't there.
+        For the files; created if it doesn't exist.
 
     Returns
     -------
-    Pages
+    ReportPaths
         Paths of both pages.
     """
     directory.mkdir(parents=True, exist_ok=True)
@@ -57,7 +57,7 @@
     markdown.write_text(_markdown(runs, failures, plots))
     html = directory / "report.html"
     html.write_text(_html(runs, failures, plots))
-    return Pages(markdown, html)
+    return ReportPaths(markdown, html)
 
 
 def _violations(runs: Iterable[Measures]) -> list[str]:
--- a/redwingpost/bench/scenario.py
+++ b/redwingpost/bench/scenario.py
@@ -6,7 +6,7 @@
 from typing import Any, NamedTuple
 
 from redwingpost.bench.fleet import Fleet
-from redwingpost.bench.history import Verdict
+from redwingpost.bench.history import AttemptResult
 from redwingpost.bench.layout import GroupMember
 from redwingpost.bench.load import LoadGenerator
 from redwingpost.bench.operators import Operator
@@ -100,7 +100,7 @@
                 self.unfinished_on_stop += ended.code != 0
         self.unfinished_on_stop += sum(
             attempt.proxy == vm
-            and attempt.verdict is Verdict.LOST
+            and attempt.verdict is AttemptResult.LOST
             and attempt.received_at >= before
             for attempt in self.load.attempts
         )
--- a/redwingpost/bench/service.py
+++ b/redwingpost/bench/service.py
@@ -11,10 +11,10 @@
 
 from redwingpost.bench.history import (
     Attempt,
+    AttemptResult,
     Grant,
     Operation,
-    Verdict,
-    said_not_run,
+    reported_not_run,
 )
 from redwingpost.bench.token_bucket import conforming
 
@@ -75,7 +75,7 @@
 
 def _fate(tries: list[Attempt]) -> RequestFate:
     last = max(tries, key=lambda attempt: attempt.number)
-    answered = any(t.verdict is Verdict.ANSWERED for t in tries)
+    answered = any(t.verdict is AttemptResult.ANSWERED for t in tries)
     return RequestFate(
         organisation=last.organisation,
         kind=last.kind,
@@ -83,7 +83,7 @@
         group=last.group,
         due_at=tries[0].due_at,
         answered=answered,
-        refused=not answered and all(said_not_run(t) for t in tries),
+        refused=not answered and all(reported_not_run(t) for t in tries),
         code=0 if answered else last.code,
     )
 
--- a/redwingpost/bench/sites.py
+++ b/redwingpost/bench/sites.py
@@ -1,11 +1,11 @@
 """The two users' sites: sizes, organisations and mixes of requests.
 
-Distances, connections, slots and connect times are the users' own
-figures. Service times and rates are chosen for a bench on one machine:
-the stand-ins' slots, and not the processor, have to be the limit. With
-five slots and 40 ms a read, a member serves 125 reads a second and a
-group of three some 350 statements of the mix. At 20 ms the calm load of
-950 statements/s kept six of twelve cores busy and queued for them.
+Network delays, connections, slots and connect times are the users' own
+figures. Service times and rates are such that on one machine the
+stand-ins' slots are the bottleneck, not the processor. With five slots
+and 40 ms per read, a member serves 125 reads per second and a group of
+three members about 350 statements of the mix. With 20 ms, the regular
+load of 950 statements/s used six of twelve cores and queued for them.
 """
 
 from typing import NamedTuple
@@ -16,10 +16,10 @@
 #: Seconds one read holds a slot of a member.
 READ_SERVICE_S = 0.040
 
-#: Seconds one write holds a slot: a commit costs more than a read.
+#: Seconds one write holds a slot; a commit takes longer than a read.
 WRITE_SERVICE_S = 0.048
 
-#: Slots of a member, from the users' figures.
+#: Statements that a member runs at a time, from the users' figures.
 SLOTS = 5
 
 #: Seconds that opening a connection to a member takes.
@@ -31,13 +31,13 @@
 #: Entry VMs per data centre: six over four, as both users run them.
 VMS_PER_DATA_CENTRE = (2, 2, 1, 1)
 
-#: Share of the capacity that the rates of all organisations add up to;
-#: the users want no wrongful refusal up to here.
+#: Share of the capacity that the rates of all organisations add up to.
+#: The users require that no request is wrongfully refused up to it.
 GRANTED_SHARE = 0.9
 
 
 class MixEntry(NamedTuple):
-    """One kind of request in a site's mix; shares add up to one."""
+    """A kind of request and its share; a mix's shares add up to one."""
 
     kind: str
     operation: Operation
@@ -46,7 +46,7 @@
 
 
 class Organisation(NamedTuple):
-    """A tenant: statements per second and burst over the whole fleet."""
+    """An organisation's fleet-wide rate (statements/s) and burst."""
 
     name: str
     rate: float
@@ -55,11 +55,11 @@
 
 
 class Site(NamedTuple):
-    """Everything the bench needs to know about one user."""
+    """The topology, organisations and request mix of one user."""
 
     name: str
     data_centres: tuple[str, ...]
-    between_delay_ms: float
+    data_centre_delay_ms: float
     client_delay_ms: float
     groups: tuple[str, ...]
     connections: int
@@ -89,15 +89,15 @@
 
 SITES: Registry[Site] = Registry("site")
 
-#: Relative sizes of the eight organisations: a few are large, and the
-#: smallest has less than two statements a second for each VM.
-_SIZES = (30.0, 23.0, 18.0, 10.0, 8.0, 6.0, 4.3, 0.7)
+#: Relative rates of the eight organisations: a few are large, and the
+#: smallest gets fewer than two statements per second on each VM.
+_RELATIVE_RATES = (30.0, 23.0, 18.0, 10.0, 8.0, 6.0, 4.3, 0.7)
 
-#: Burst as seconds of the rate; a page that prints a plan asks for some
+#: Burst as seconds of the rate; a page that prints a plan sends some
 #: tens of statements at once.
 _BURST_S = 0.5
 
-#: Smallest burst: one page of a small organisation.
+#: Smallest burst: enough for one page of a small organisation.
 _MIN_BURST = 20.0
 
 
@@ -105,24 +105,24 @@
     names: tuple[str, ...], capacity: float
 ) -> tuple[Organisation, ...]:
     """Return organisations whose rates add up to the granted share."""
-    unit = GRANTED_SHARE * capacity / sum(_SIZES)
-    rates = [round(unit * size, 1) for size in _SIZES]
+    unit = GRANTED_SHARE * capacity / sum(_RELATIVE_RATES)
+    rates = [round(unit * relative, 1) for relative in _RELATIVE_RATES]
     return tuple(
         Organisation(name, rate, max(_MIN_BURST, round(rate * _BURST_S)))
         for name, rate in zip(names, rates)
     )
 
 
-def _sized(site: Site, names: tuple[str, ...]) -> Site:
+def _with_organisations(site: Site, names: tuple[str, ...]) -> Site:
     return site._replace(organisations=_organisations(names, site.capacity))
 
 
 SITES.register("semilla-andina")(
-    _sized(
+    _with_organisations(
         Site(
             name="semilla-andina",
             data_centres=("lima-1", "lima-2", "lima-3", "lima-4"),
-            between_delay_ms=0.5,
+            data_centre_delay_ms=0.5,
             client_delay_ms=3.0,
             groups=("catalogue-1", "catalogue-2", "catalogue-3"),
             connections=32,
@@ -162,11 +162,11 @@
 )
 
 SITES.register("yuelan")(
-    _sized(
+    _with_organisations(
         Site(
             name="yuelan",
             data_centres=("north-1", "north-2", "north-3", "north-4"),
-            between_delay_ms=1.5,
+            data_centre_delay_ms=1.5,
             client_delay_ms=1.0,
             groups=("schedule-1", "schedule-2", "schedule-3"),
             connections=50,
--- a/redwingpost/bench/statements.py
+++ b/redwingpost/bench/statements.py
@@ -1,15 +1,16 @@
-"""The SQL of each operation, and what its answer shows.
+"""The SQL of each operation, and the parsing of its answer.
 
 Every statement holds the request's name as a literal that the answer
-repeats. Writes are such that a second execution shows (orders) or
-changes nothing (edits), as the operations of both sites are.
+repeats. A second execution of an order is detectable as a second row,
+that of an edit changes nothing, as with both sites' own operations.
 """
 
 from typing import Any, NamedTuple
 
-from redwingpost.bench.history import Operation, Seen, make_body
+from redwingpost.bench.history import Operation, ReadRow, make_body
 
-#: Tables of the bench, in MySQL's syntax, made on every group's primary.
+#: Tables of the bench in MySQL's syntax, created on every group's
+#: primary.
 SCHEMA = (
     "CREATE TABLE IF NOT EXISTS orders ("
     "id BIGINT AUTO_INCREMENT PRIMARY KEY, "
@@ -25,18 +26,18 @@
 #: Shared documents (notices, schedules) per organisation and group.
 SHARED_DOCUMENTS = 3
 
-#: Seconds a long job holds a slot: twenty times a read.
+#: Seconds that a long job holds a slot: twenty times a read's.
 JOB_S = 0.8
 
-#: Milliseconds after which a caller no longer wants an answer.
+#: Deadline of a request, in milliseconds.
 DEADLINE_MS = 2000
 
-#: The same for a long job.
+#: Deadline of a long job, in milliseconds.
 JOB_DEADLINE_MS = 6000
 
 
-class Target(NamedTuple):
-    """What a request is about."""
+class StatementValues(NamedTuple):
+    """The values that a request's statements contain."""
 
     request: str
     organisation: str
@@ -51,7 +52,7 @@
     max_staleness_ms: int = 0,
     token: str = "",
 ) -> str:
-    """Return the leading comment that carries a request's marks.
+    """Return the leading SQL comment with a request's marks.
 
     Examples
     --------
@@ -74,79 +75,79 @@
     return f"/* redwing: {', '.join(marks)} */ "
 
 
-def render_read(target: Target) -> str:
+def render_read(values: StatementValues) -> str:
     """Return the query for a document's newest revision.
 
-    The body begins with the revision, so that the greatest body is the
-    newest.
+    The body begins with the revision, so that ``MAX(body)`` is the newest
+    one.
     """
     return (
-        f"SELECT '{target.request}' AS answers, @@hostname AS member, "
+        f"SELECT '{values.request}' AS answers, @@hostname AS member, "
         "COALESCE(MAX(organisation), '') AS organisation, "
         "COALESCE(MAX(revision), 0) AS revision, "
         "COALESCE(MAX(body), '') AS body FROM edits "
-        f"WHERE organisation = '{target.organisation}' "
-        f"AND document = '{target.document}'"
+        f"WHERE organisation = '{values.organisation}' "
+        f"AND document = '{values.document}'"
     )
 
 
-def render_edit(target: Target) -> str:
+def render_edit(values: StatementValues) -> str:
     """Return the statement that stores one revision of a document."""
-    body = make_body(target.request, target.revision)
+    body = make_body(values.request, values.revision)
     return (
         "REPLACE INTO edits (organisation, document, revision, request, "
-        f"body) VALUES ('{target.organisation}', '{target.document}', "
-        f"{target.revision}, '{target.request}', '{body}')"
+        f"body) VALUES ('{values.organisation}', '{values.document}', "
+        f"{values.revision}, '{values.request}', '{body}')"
     )
 
 
-def render_order(target: Target, part: int = 1) -> str:
+def render_order(values: StatementValues, part: int = 1) -> str:
     """Return the statement that appends one order."""
     return (
         "INSERT INTO orders (organisation, request, part) VALUES "
-        f"('{target.organisation}', '{target.request}', {part})"
+        f"('{values.organisation}', '{values.request}', {part})"
     )
 
 
-def render_job(target: Target) -> str:
+def render_job(values: StatementValues) -> str:
     """Return a query that holds a slot for a long time."""
     return (
-        f"SELECT '{target.request}' AS answers, @@hostname AS member, "
+        f"SELECT '{values.request}' AS answers, @@hostname AS member, "
         f"'' AS organisation, 0 AS revision, '' AS body, "
         f"SLEEP({JOB_S}) AS slept"
     )
 
 
-def render(operation: Operation, target: Target) -> tuple[str, ...]:
+def render(operation: Operation, values: StatementValues) -> tuple[str, ...]:
     """Return the statements of an operation, in order.
 
     Examples
     --------
-    >>> pair = render(Operation.PAIR, Target("r1", "o"))
+    >>> pair = render(Operation.PAIR, StatementValues("r1", "o"))
     >>> pair[0], len(pair)
     ('BEGIN', 4)
     """
     if operation.reads:
-        return (render_read(target),)
+        return (render_read(values),)
     if operation is Operation.JOB:
-        return (render_job(target),)
+        return (render_job(values),)
     if operation is Operation.PAIR:
-        parts = (render_order(target, 1), render_order(target, 2))
+        parts = (render_order(values, 1), render_order(values, 2))
         return ("BEGIN", *parts, "COMMIT")
     if operation.orders:
-        return (render_order(target),)
-    return (render_edit(target),)
+        return (render_order(values),)
+    return (render_edit(values),)
 
 
 class Answer(NamedTuple):
-    """A read's row: what it showed and which member gave it."""
+    """The row of a read, and the member that served it."""
 
-    seen: Seen
+    seen: ReadRow
     member: str
 
 
 def parse_answer(row: tuple[Any, ...]) -> Answer:
-    """Read the row of a document query or a long job."""
+    """Parse the row of a document query or a long job."""
     answers, member, organisation, revision, body = row[:5]
-    seen = Seen(answers, organisation, int(revision), body)
+    seen = ReadRow(answers, organisation, int(revision), body)
     return Answer(seen, member)
--- a/redwingpost/bench/sweep.py
+++ b/redwingpost/bench/sweep.py
@@ -1,4 +1,4 @@
-"""Several runs one after another, and their spread as one table."""
+"""Runs scenarios one after another and tabulates the worst seeds."""
 
 from asyncio import run as run_loop, timeout
 from collections import defaultdict
@@ -17,18 +17,20 @@
 )
 from redwingpost.bench.turns import take_turn
 
-#: Seconds that a run may take in all.
-RUN_LIMIT_S = 40.0
+#: Seconds that a whole run may take.
+RUN_TIMEOUT_S = 40.0
 
 
-async def run_limited(order: Order, say: Progress) -> Finished:
-    """Run one scenario within the time that a run may take."""
-    async with timeout(RUN_LIMIT_S):
-        return await run_scenario(order, say)
+async def run_with_timeout(
+    order: Order, report_progress: Progress
+) -> Finished:
+    """Run one scenario; cancel it after ``RUN_TIMEOUT_S``."""
+    async with timeout(RUN_TIMEOUT_S):
+        return await run_scenario(order, report_progress)
 
 
 class SweepResult(NamedTuple):
-    """Measures of the runs that ended, reasons of those that didn't."""
+    """Measures of the finished runs, and errors of the failed ones."""
 
     runs: list[Measures]
     failures: list[str]
@@ -40,34 +42,34 @@
     seeds: Iterable[int],
     policies: Iterable[str],
 ) -> Iterator[Order]:
-    """Return every combination, seeds innermost."""
+    """Return all combinations; the seeds vary fastest."""
     for scenario, site, policy, seed in product(
         scenarios, sites, policies, list(seeds)
     ):
         yield Order(scenario, site, seed, policy)
 
 
-def run_all(orders: Iterable[Order], say: Progress) -> SweepResult:
-    """Run orders one after another; a failed run doesn't end the sweep."""
+def run_all(orders: Iterable[Order], report_progress: Progress) -> SweepResult:
+    """Run all orders one after another; continue after failures."""
     result = SweepResult([], [])
     for order in orders:
         name = " ".join(map(str, order))
-        say(name)
+        report_progress(name)
         try:
-            with take_turn(say):
-                finished = run_loop(run_limited(order, lambda _: None))
+            with take_turn(report_progress):
+                finished = run_loop(run_with_timeout(order, lambda _: None))
         except Exception as error:
-            # Whatever broke one run must not throw the others' results
-            # away; the table lists it as a run that did not end.
+            # One failed run must not discard the others' results. The
+            # report lists it among the runs that did not end.
             result.failures.append(f"{name}: {error!r}"[:500])
-            say(f"{name}: did not end: {error!r}"[:500])
+            report_progress(f"{name}: did not end: {error!r}"[:500])
             continue
         result.runs.append(finished.measures)
-        say(_outcome(finished.measures))
+        report_progress(_summary_line(finished.measures))
     return result
 
 
-def _outcome(measures: Measures) -> str:
+def _summary_line(measures: Measures) -> str:
     return (
         f"  answered {measures['answered']}/{measures['requests']}, "
         f"gap {measures['failover_gap_s']}, worst "
@@ -79,7 +81,7 @@
 
 
 def make_spread_table(result: SweepResult) -> Table:
-    """Return one line per scenario, site and policy over all seeds."""
+    """Return a row per scenario, site and policy, over all seeds."""
     table = Table(title=f"{len(result.runs)} runs, worst seed of each")
     for heading in _HEADINGS:
         table.add_column(heading)
@@ -108,7 +110,7 @@
 
 
 def spread(runs: list[Measures]) -> tuple[str, ...]:
-    """Return the cells of a line, from the seeds and ending with faults."""
+    """Return a row's cells, from ``seeds`` to ``violations``."""
     gaps = sorted(
         run["failover_gap_s"]
         for run in runs
--- a/redwingpost/bench/tables.py
+++ b/redwingpost/bench/tables.py
@@ -1,4 +1,4 @@
-"""Measures as tables: for the terminal, and as Markdown."""
+"""Tables of measures, for the terminal and as Markdown."""
 
 from collections.abc import Callable, Iterable
 from typing import Any, NamedTuple
@@ -9,7 +9,7 @@
 
 
 class Column(NamedTuple):
-    """A measure's heading and how a run's value is shown."""
+    """A heading and the function that formats a run's value."""
 
     heading: str
     show: Callable[[Measures], str]
@@ -49,7 +49,7 @@
 
 
 def make_table(runs: Iterable[Measures], title: str) -> Table:
-    """Return a table for the terminal, a line per run."""
+    """Return a table for the terminal with a row per run."""
     table = Table(title=title)
     for column in COLUMNS:
         table.add_column(column.heading)
@@ -60,7 +60,7 @@
 
 
 def make_side_by_side(runs: list[Measures], title: str) -> Table:
-    """Return a narrow table: a line per measure, a column per run."""
+    """Return a narrow table: a row per measure, a column per run."""
     table = Table(title=title)
     table.add_column("measure")
     for run in runs:
@@ -72,7 +72,7 @@
 
 
 def make_detail_table(run: Measures) -> Table:
-    """Return a table of everything that one run measured."""
+    """Return a table of all measures and violations of one run."""
     title = f"{run['scenario']} at {run['site']}, {run['policy']}"
     table = Table("measure", "value", title=title)
     for name, value in run.items():
--- a/redwingpost/bench/tests/differential.py
+++ b/redwingpost/bench/tests/differential.py
@@ -1,8 +1,9 @@
-"""Drives redwingpost and the perfect database side by side.
+"""Runs statements on redwingpost and on the reference database.
 
-A caller's answers must be the perfect database's, except that a request
-may be refused with a code that says "not run" (then it did not run) or
-"unknown" (then its session's next read shows one of both states).
+Both must give the same answers, except that redwingpost may refuse a
+request with a code that means "not run" (then it did not run) or
+"unknown" (then the session's next read shows the rows with or without
+its effect).
 """
 
 from itertools import count
@@ -10,7 +11,7 @@
 from pymysql import connect
 from pymysql.err import MySQLError
 
-from redwingpost.bench.perfect import PerfectDatabase, Reply
+from redwingpost.bench.reference import ReferenceDatabase, Reply
 from redwingpost.core import CODES_BY_NUMBER, Outcome
 from redwingpost.proxy.tests.small_site import GROUP, SmallSite
 
@@ -18,9 +19,9 @@
 
 
 async def fail_over(site: SmallSite) -> None:
-    """Let the primary die, promote the most advanced other, bring it back.
+    """Stop the primary, promote the most advanced replica, restart it.
 
-    The test plays the agents' part with the members' own control calls.
+    The test does what agents would do, by the members' control calls.
     """
     members = list(site.group.members_by_name.values())
     (old,) = [member for member in members if member.term_state.is_primary]
@@ -39,14 +40,15 @@
 
 
 class Session:
-    """One caller that roams between the proxies with its token.
+    """One caller that switches between the proxies with its token.
 
-    A named session carries its name in every mark, so that without a
-    token its reads go to the primary; an unnamed one is its connection.
+    A named session sends its name in the marks of every statement, so
+    that without a token its reads go to the primary. An unnamed session
+    is identified by its connection.
     """
 
     def __init__(
-        self, site: SmallSite, database: PerfectDatabase, named: bool
+        self, site: SmallSite, database: ReferenceDatabase, named: bool
     ) -> None:
         self.name = f"s{next(_numbers)}"
         self.named = named
@@ -57,8 +59,8 @@
         self._proxy = 0
         self._token = ""
         self._connections = [self._connect(n) for n in range(2)]
-        self._before: list[tuple] | None = None
-        self._maybe: list[tuple] | None = None
+        self._rows_before_transaction: list[tuple] | None = None
+        self._rows_if_not_run: list[tuple] | None = None
         self._last_keyed = ("", "")
 
     def _connect(self, proxy: int):
@@ -76,10 +78,10 @@
 
     @property
     def in_transaction(self) -> bool:
-        return self._before is not None
+        return self._rows_before_transaction is not None
 
-    def move(self) -> None:
-        """Go on through the other proxy, with the token."""
+    def switch_proxy(self) -> None:
+        """Continue through the other proxy, with the token."""
         if self.in_transaction:
             return
         reply = self._send("SELECT @@redwing_token")
@@ -101,33 +103,35 @@
             return Reply(tuple(cursor.fetchall()), affected)
 
     def write(self, sql: str, key: str = "") -> None:
-        """Run a write on both sides and compare the replies."""
+        """Run a write on both databases and compare the replies."""
         marks = (f"idempotency_key={key}",) if key else ()
-        before = self._database.fork(self.name)
+        before = self._database.copy_rows(self.name)
         expected = self._database.write(self.name, sql, key)
         reply = self._send(sql, *marks)
         if reply == expected:
             return
-        self._settle(reply, expected, before)
+        self._accept_refusal(reply, expected, before)
 
-    def _settle(self, reply: Reply, expected: Reply, before: list) -> None:
-        """Accept a refusal and note what it says; fail on all else."""
+    def _accept_refusal(
+        self, reply: Reply, expected: Reply, before: list
+    ) -> None:
+        """Adjust the reference to a refusal; fail on any other error."""
         code = CODES_BY_NUMBER.get(reply.error)
         if code is None:
-            raise AssertionError(f"got {reply}, the perfect {expected}")
+            raise AssertionError(f"got {reply}, expected {expected}")
         self.refused.append(reply.error)
         if self.in_transaction:
             # Whatever the code, the transaction can't have committed.
-            self.rolled_back()
+            self.undo_transaction()
         elif code.outcome is Outcome.UNKNOWN:
-            # The token does not hold what may have been written.
-            self._maybe = before
+            # The token may lack the position of this write.
+            self._rows_if_not_run = before
             self._token = ""
         else:
             self._database.restore(self.name, before)
 
     def read(self) -> None:
-        """Read the session's rows on both sides and compare."""
+        """Read the session's rows on both databases and compare."""
         reply = self._send(
             "SELECT line, text FROM lines "
             f"WHERE session = '{self.name}' ORDER BY line"
@@ -138,22 +142,22 @@
                 raise AssertionError(f"a read failed with {reply.error}")
             self.refused.append(reply.error)
             if self.in_transaction:
-                self.rolled_back()
+                self.undo_transaction()
             return
         expected = self._database.read(self.name)
-        if reply.rows != expected and self._maybe is not None:
-            # The unknown write did not happen after all.
-            self._database.restore(self.name, self._maybe)
+        if reply.rows != expected and self._rows_if_not_run is not None:
+            # The write with the unknown outcome did not run.
+            self._database.restore(self.name, self._rows_if_not_run)
             expected = self._database.read(self.name)
-        self._maybe = None
+        self._rows_if_not_run = None
         if reply.rows != expected:
             raise AssertionError(
-                f"{self.name} read {reply.rows}, the perfect {expected}"
+                f"{self.name} read {reply.rows}, expected {expected}"
             )
 
     def read_tolerant(self) -> None:
-        """Read with a stated age: any state the rows were ever in."""
-        if self.in_transaction or self._maybe is not None:
+        """Read with a tolerated staleness and accept any past state."""
+        if self.in_transaction or self._rows_if_not_run is not None:
             return
         reply = self._send(
             "SELECT line, text FROM lines "
@@ -162,32 +166,35 @@
         )
         states = self._database.states(self.name)
         if not reply.error and reply.rows not in states:
-            raise AssertionError(f"{reply.rows} was never the state")
+            raise AssertionError(f"{reply.rows} is no past state of the rows")
 
     def begin(self) -> None:
-        """Open a transaction on both sides."""
-        if self.in_transaction or self._maybe is not None:
+        """Begin a transaction on both databases."""
+        if self.in_transaction or self._rows_if_not_run is not None:
             return
         reply = self._send("BEGIN")
         if not reply.error:
-            self._before = self._database.fork(self.name)
+            self._rows_before_transaction = self._database.copy_rows(self.name)
 
     def commit(self) -> None:
-        """Commit on both sides."""
+        """Commit on both databases."""
         if not self.in_transaction:
             return
-        before, self._before = self._before, None
+        before, self._rows_before_transaction = (
+            self._rows_before_transaction,
+            None,
+        )
         reply = self._send("COMMIT")
         if reply.error:
-            self._settle(reply, Reply(), before)
+            self._accept_refusal(reply, Reply(), before)
 
     def rollback(self) -> None:
-        """Roll back on both sides."""
+        """Roll back on both databases."""
         if self.in_transaction:
             self._send("ROLLBACK")
-            self.rolled_back()
+            self.undo_transaction()
 
-    def rolled_back(self) -> None:
-        """Undo the perfect side of the open transaction."""
-        self._database.restore(self.name, self._before)
-        self._before = None
+    def undo_transaction(self) -> None:
+        """Undo the open transaction on the reference database."""
+        self._database.restore(self.name, self._rows_before_transaction)
+        self._rows_before_transaction = None
--- a/redwingpost/bench/tests/test_checks.py
+++ b/redwingpost/bench/tests/test_checks.py
@@ -1,17 +1,17 @@
-"""The checks find each kind of planted violation, and only that."""
+"""The checks find each kind of injected violation, and no other."""
 
 from unittest import TestCase
 
 from redwingpost.bench.history import (
     Attempt,
+    AttemptResult,
     Contents,
     EditRow,
     Grant,
     Operation,
     OrderRow,
+    ReadRow,
     Run,
-    Seen,
-    Verdict,
     from_record,
     make_body,
     to_record,
@@ -35,12 +35,12 @@
     due_at=1.0,
     sent_at=1.0,
     received_at=1.1,
-    verdict=Verdict.ANSWERED,
+    verdict=AttemptResult.ANSWERED,
 )
 
 
 def refused(attempt, code):
-    return attempt._replace(verdict=Verdict.REFUSED, code=code.number)
+    return attempt._replace(verdict=AttemptResult.REFUSED, code=code.number)
 
 
 def edit(revision, at, **changes):
@@ -63,17 +63,19 @@
         document="plan",
         sent_at=at,
         received_at=at + 0.1,
-        seen=Seen(request, organisation, revision, body),
+        seen=ReadRow(request, organisation, revision, body),
     )._replace(**changes)
 
 
 def run(attempts, orders=(), edits=(), **changes):
     grant = Grant(100.0, 10.0, frozenset({"catalogue-1"}))
-    rows = [OrderRow("diocese", *order) for order in orders]
-    held = [EditRow("diocese", "plan", n, f"e{n}") for n in edits]
+    stored_orders = [OrderRow("diocese", *order) for order in orders]
+    stored_edits = [EditRow("diocese", "plan", n, f"e{n}") for n in edits]
     return Run(
         attempts=tuple(attempts),
-        contents_by_group={"catalogue-1": Contents(tuple(rows), tuple(held))},
+        contents_by_group={
+            "catalogue-1": Contents(tuple(stored_orders), tuple(stored_edits))
+        },
         grants_by_organisation={"diocese": grant},
         withdrawn_at={},
     )._replace(**changes)
@@ -86,8 +88,8 @@
 POSITION_LOST = refused(read("r3", 0, 3.0), Code.POSITION_LOST)
 TOLERANT_MARK = {"max_staleness_ms": 1000}
 
-HONEST = {
-    "an order kept": run([BASE], orders=[("r1", 1)]),
+VALID_RUNS = {
+    "order stored": run([BASE], orders=[("r1", 1)]),
     "unknown and stored": run([UNKNOWN], orders=[("r1", 1)]),
     "unknown and not stored": run([UNKNOWN]),
     "not run and not stored": run([NOT_RUN]),
@@ -101,7 +103,7 @@
     "another session's edit": run(
         [edit(1, 1.0, session="s2"), read("r2", 0, 2.0)], edits=[1]
     ),
-    "told that the position was lost": run(
+    "read after a lost position": run(
         [read("r2", 5, 2.0), POSITION_LOST, read("r4", 4, 4.0)]
     ),
     "tolerant read of the stated age": run(
@@ -119,7 +121,7 @@
     ),
 }
 
-PLANTED = [
+INJECTED_VIOLATIONS = [
     ("at-most-once", run([BASE], orders=[("r1", 1)] * 2)),
     ("acknowledged-is-kept", run([BASE])),
     ("acknowledged-is-kept", run([edit(1, 1.0)])),
@@ -130,7 +132,10 @@
     ),
     (
         "not-run-is-true",
-        run([BASE._replace(verdict=Verdict.REFUSED, code=1290)], [("r1", 1)]),
+        run(
+            [BASE._replace(verdict=AttemptResult.REFUSED, code=1290)],
+            [("r1", 1)],
+        ),
     ),
     (
         "whole-transactions",
@@ -158,15 +163,15 @@
     ),
     (
         "right-caller",
-        run([read("r2", 1, 2.0, seen=Seen("r9", "diocese", 0, ""))]),
+        run([read("r2", 1, 2.0, seen=ReadRow("r9", "diocese", 0, ""))]),
     ),
     (
         "right-caller",
-        run([read("r2", 1, 2.0, seen=Seen("r2", "parish", 0, ""))]),
+        run([read("r2", 1, 2.0, seen=ReadRow("r2", "parish", 0, ""))]),
     ),
     (
         "right-caller",
-        run([read("r2", 1, 2.0, seen=Seen("r2", "diocese", 1, "0000"))]),
+        run([read("r2", 1, 2.0, seen=ReadRow("r2", "diocese", 1, "0000"))]),
     ),
     ("isolation", run([read("r2", 0, 2.0, group="schedule-1")])),
     (
@@ -178,15 +183,17 @@
 
 
 class ChecksTest(TestCase):
-    def test_honest_runs_have_no_violation(self):
-        for name, honest in HONEST.items():
+    def test_valid_runs_have_no_violation(self):
+        for name, valid_run in VALID_RUNS.items():
             with self.subTest(name):
-                self.assertEqual(find_violations(honest), [])
+                self.assertEqual(find_violations(valid_run), [])
 
-    def test_planted_violations_are_found(self):
-        for promise, planted in PLANTED:
+    def test_injected_violations_are_found(self):
+        for promise, run_with_violation in INJECTED_VIOLATIONS:
             with self.subTest(promise):
-                found = {v.promise for v in find_violations(planted)}
+                found = {
+                    v.promise for v in find_violations(run_with_violation)
+                }
                 self.assertEqual(found, {promise})
 
 
--- a/redwingpost/bench/tests/test_differential.py
+++ b/redwingpost/bench/tests/test_differential.py
@@ -1,9 +1,8 @@
-"""redwingpost against one perfect database, statement by statement.
+"""redwingpost against a reference database, statement by statement.
 
-A caller who is not told otherwise must not notice that there are several
-proxies and replicas: a session that moves to another proxy, a replica
-that lags or an answer that was lost on the way must leave it with what
-one database would have answered.
+Unless a request is refused, callers must receive the answers of a single
+database, even if a session switches to another proxy, replicas lag or
+an answer is lost.
 """
 
 from itertools import count
@@ -18,7 +17,7 @@
 )
 from hypothesis.strategies import booleans, integers, sampled_from
 
-from redwingpost.bench.perfect import SCHEMA, PerfectDatabase
+from redwingpost.bench.reference import SCHEMA, ReferenceDatabase
 from redwingpost.bench.tests.differential import Session, fail_over
 from redwingpost.proxy.tests.small_site import SmallSite
 
@@ -34,7 +33,7 @@
     return text.replace("'", "''")
 
 
-class SideBySide(RuleBasedStateMachine):
+class DifferentialStateMachine(RuleBasedStateMachine):
     """Sessions through two proxies of one site."""
 
     site = None
@@ -45,7 +44,7 @@
     def start(self):
         self.keys = count(1)
         self.failovers_left = 1
-        self.database = PerfectDatabase()
+        self.database = ReferenceDatabase()
         self.sessions = [
             Session(self.site, self.database, named=number > 0)
             for number in range(SESSIONS)
@@ -57,23 +56,24 @@
             session.rollback()
             session.read()
             session.close()
-            SideBySide.sent += session.sent
-            SideBySide.refused += len(session.refused)
+            DifferentialStateMachine.sent += session.sent
+            DifferentialStateMachine.refused += len(session.refused)
 
     def _set_lag(self, lagging):
         for member in self.site.group.members_by_name.values():
             member.replica.lag_s = LAG_MS / 1000 if lagging else 0.0
 
     def may_write(self, number):
-        """Say whether nobody else holds the member's one writer lock.
+        """Tell whether no other session holds the member's writer lock.
 
-        A member's stand-in locks whole; a second writer would wait for
-        the lock's five seconds, which a caller sees on MySQL as well.
+        A member's stand-in has one lock for all writers. A second one
+        would wait until the lock times out after five seconds, as
+        callers of MySQL do too.
         """
         return not any(
             session.in_transaction
-            for place, session in enumerate(self.sessions)
-            if place != number
+            for other, session in enumerate(self.sessions)
+            if other != number
         )
 
     @rule(lagging=booleans())
@@ -82,15 +82,15 @@
 
     @rule()
     def fail_over(self):
-        # The primary dies and another member is promoted: a write that
-        # was acknowledged before must still be there.
+        # The primary stops and another member is promoted: a write that
+        # was acknowledged before must not be lost.
         if self.failovers_left:
             self.failovers_left -= 1
             self.site.call(fail_over(self.site))
 
     @rule(number=session_numbers)
     def move(self, number):
-        self.sessions[number].move()
+        self.sessions[number].switch_proxy()
 
     @rule(number=session_numbers, line=lines, text=texts)
     def insert(self, number, line, text):
@@ -104,8 +104,8 @@
 
     @rule(number=session_numbers, line=lines, text=texts, again=booleans())
     def insert_once(self, number, line, text, again):
-        # The caller's answer was lost on its way, so that it sends the
-        # same request through the other proxy.
+        # The answer to the caller was lost, so that it sends the same
+        # request again through the other proxy.
         session = self.sessions[number]
         if session.in_transaction or not self.may_write(number):
             return
@@ -116,13 +116,13 @@
         )
         session.write(sql, key)
         if again:
-            session.move()
+            session.switch_proxy()
             session.write(sql, key)
 
     @rule(number=session_numbers, line=lines, text=texts)
     def insert_and_lose_answer(self, number, line, text):
         # The primary commits and the connection breaks before its
-        # answer: the caller must be told "unknown", never "not run".
+        # answer: the caller must get "unknown", never "not run".
         session = self.sessions[number]
         busy = session.in_transaction or not self.may_write(number)
         if busy or not session.named:
@@ -182,29 +182,31 @@
 
 class DifferentialTest(TestCase):
     def test_callers_cannot_tell_it_from_one_database(self):
-        # A secretary edits, moves to another proxy and looks again while
-        # replicas lag: an older page, a doubled line or another
-        # secretary's text would show here.
+        # A caller that edits, switches to another proxy and reads while
+        # replicas lag could see stale rows, a write applied twice or
+        # another session's rows.
         site = SmallSite(proxies=2, read_ms=0, write_ms=0, step_ms=0).start()
         self.addCleanup(site.stop)
-        SideBySide.site = site
-        setup = Session(site, PerfectDatabase(), named=False)
+        DifferentialStateMachine.site = site
+        setup = Session(site, ReferenceDatabase(), named=False)
         setup._send(SCHEMA)
         setup.close()
         run_state_machine_as_test(
-            SideBySide,
+            DifferentialStateMachine,
             settings=settings(
                 max_examples=25,
                 stateful_step_count=30,
                 derandomize=True,
                 deadline=None,
-                # Each step takes real time; a failing example is short
-                # enough to be read as it is.
+                # No shrinking: each step takes real time, and a failing
+                # example is short enough to be read unshrunk.
                 phases=(Phase.generate,),
                 suppress_health_check=list(HealthCheck),
             ),
         )
-        # Refusals are allowed, but a proxy that refuses everything would
-        # pass the comparison as well.
-        self.assertGreater(SideBySide.sent, 200)
-        self.assertLess(SideBySide.refused, SideBySide.sent / 5)
+        # A proxy that refuses everything would pass the comparison, so
+        # that refusals have to be rare.
+        self.assertGreater(DifferentialStateMachine.sent, 200)
+        self.assertLess(
+            DifferentialStateMachine.refused, DifferentialStateMachine.sent / 5
+        )
--- a/redwingpost/bench/tests/test_hotpath.py
+++ b/redwingpost/bench/tests/test_hotpath.py
@@ -1,4 +1,4 @@
-"""The hot path's site: what the proxy is given is valid at every size."""
+"""The settings and configuration of hotpath are valid at any size."""
 
 from json import dumps
 from pathlib import Path
@@ -18,10 +18,10 @@
                 with TemporaryDirectory() as name:
                     site = Site(Path(name), organisations, groups)
                     group, proxy = site.write_files()
-                    found = parse_group(Path(group).read_text(), group)
-                    self.assertTrue(found.is_ok(), found)
-                    found = load_settings(proxy)
-                    self.assertTrue(found.is_ok(), found)
+                    parsed = parse_group(Path(group).read_text(), group)
+                    self.assertTrue(parsed.is_ok(), parsed)
+                    parsed = load_settings(proxy)
+                    self.assertTrue(parsed.is_ok(), parsed)
                     body = dumps(site.configuration()).encode()
-                    read = parse_configuration(body)
-                    self.assertTrue(read.is_ok(), read)
+                    configuration = parse_configuration(body)
+                    self.assertTrue(configuration.is_ok(), configuration)
--- a/redwingpost/bench/tests/test_load.py
+++ b/redwingpost/bench/tests/test_load.py
@@ -9,12 +9,12 @@
     Outcome,
     ProxyEndpoint,
 )
-from redwingpost.bench.history import Operation, Verdict
+from redwingpost.bench.history import AttemptResult, Operation
 from redwingpost.bench.load import _tries_again
 from redwingpost.bench.schedule import draw_arrivals, site_streams
 from redwingpost.bench.sites import SITES
 from redwingpost.bench.statements import (
-    Target,
+    StatementValues,
     parse_answer,
     render,
     render_marks,
@@ -54,7 +54,7 @@
 
 class StatementsTest(TestCase):
     def test_every_operation_names_its_request(self):
-        target = Target("r1", "diocese", "plan", 2)
+        target = StatementValues("r1", "diocese", "plan", 2)
         for operation in Operation:
             with self.subTest(operation):
                 statements = render(operation, target)
@@ -79,9 +79,9 @@
 class TriesAgainTest(TestCase):
     def test_table(self):
         def refusal(number):
-            return Outcome(Verdict.REFUSED, number)
+            return Outcome(AttemptResult.REFUSED, number)
 
-        lost = Outcome(Verdict.LOST)
+        lost = Outcome(AttemptResult.LOST)
         unknown = refusal(Code.OUTCOME_UNKNOWN.number)
         draining = refusal(Code.DRAINING.number)
         order, keyed = Operation.ORDER, Operation.KEYED_ORDER
@@ -94,7 +94,7 @@
             (order, draining, 1, True),
             (order, refusal(CONNECT_FAILED), 1, True),
             (keyed, refusal(Code.OVER_RATE.number), 1, False),
-            (keyed, Outcome(Verdict.ANSWERED), 1, False),
+            (keyed, Outcome(AttemptResult.ANSWERED), 1, False),
         ]
         for operation, outcome, number, expected in table:
             with self.subTest(operation=operation, outcome=outcome):
--- a/redwingpost/bench/tests/test_measures.py
+++ b/redwingpost/bench/tests/test_measures.py
@@ -1,14 +1,14 @@
-"""Measures worked out from small histories."""
+"""Measures computed from small histories."""
 
 from unittest import TestCase
 
 from redwingpost.bench.history import (
     Attempt,
+    AttemptResult,
     Contents,
     Grant,
     Operation,
     Run,
-    Verdict,
 )
 from redwingpost.bench.measures import Counts, failover_gap, measure
 from redwingpost.bench.oracle import find_violations
@@ -44,42 +44,42 @@
         due_at=at,
         sent_at=at,
         received_at=at + 0.010,
-        verdict=Verdict.REFUSED if code else Verdict.ANSWERED,
+        verdict=AttemptResult.REFUSED if code else AttemptResult.ANSWERED,
         code=code,
     )._replace(**more)
 
 
-def a_run(attempts, rate=10.0, burst=5.0):
+def make_run(attempts, rate=10.0, burst=5.0):
     grant = Grant(rate, burst, frozenset({"g"}))
     return Run(tuple(attempts), {"g": Contents((), ())}, {"a": grant}, {})
 
 
 class ServiceTest(TestCase):
     def test_wrongful_refusals(self):
-        calm = [attempt(f"r{n}", n / 10.0) for n in range(20)]
-        hot = [attempt(f"r{n}", 0.0, OVER_RATE) for n in range(40)]
+        within_rate = [attempt(f"r{n}", n / 10.0) for n in range(20)]
+        above_rate = [attempt(f"r{n}", 0.0, OVER_RATE) for n in range(40)]
         table = [
-            ("all served", calm, 0),
+            ("all served", within_rate, 0),
             (
                 "one refused within the rate",
-                calm[:-1] + [attempt("x", 1.9, OVER_RATE)],
+                within_rate[:-1] + [attempt("x", 1.9, OVER_RATE)],
                 1,
             ),
             (
                 "unknown is not refused",
-                calm[:-1] + [attempt("x", 1.9, UNKNOWN)],
+                within_rate[:-1] + [attempt("x", 1.9, UNKNOWN)],
                 0,
             ),
-            ("above the rate, burst not served", hot, 5),
+            ("above the rate, burst not served", above_rate, 5),
             (
                 "above the rate, burst served",
-                hot[:35] + [attempt(f"y{n}", 0.0) for n in range(5)],
+                above_rate[:35] + [attempt(f"y{n}", 0.0) for n in range(5)],
                 0,
             ),
         ]
         for name, attempts, expected in table:
             with self.subTest(name):
-                run = a_run(attempts)
+                run = make_run(attempts)
                 services = serve_by_organisation(
                     fates(run.attempts), run.grants_by_organisation, {}
                 )
@@ -90,7 +90,7 @@
             attempt("r1", 0.0),
             attempt("r2", 0.1, OVER_RATE, kind="order"),
         ]
-        run = a_run(attempts)
+        run = make_run(attempts)
         services = serve_by_organisation(
             fates(run.attempts), run.grants_by_organisation, {"order": 3.0}
         )
@@ -132,7 +132,7 @@
 class MeasureTest(TestCase):
     def test_failover_gap_ignores_writes_sent_before(self):
         order = Operation.ORDER
-        run = a_run(
+        run = make_run(
             [
                 attempt("r1", 0.995, operation=order),
                 attempt("r2", 1.2, Code.NO_PRIMARY.number, operation=order),
@@ -143,7 +143,7 @@
         self.assertIsNone(failover_gap(run, "g", 2.0))
 
     def test_names_and_values(self):
-        run = a_run([attempt("r1", 0.0), attempt("r2", 0.1, OVER_RATE)])
+        run = make_run([attempt("r1", 0.0), attempt("r2", 0.1, OVER_RATE)])
         counts = Counts(duration_s=2.0, reads=4, replica_reads=3, cpu_s=0.001)
         measures = measure(
             "steady",
--- a/redwingpost/bench/tests/test_pages.py
+++ b/redwingpost/bench/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""Tables, comparison, plots and the report, from made-up measures."""
+"""Tables, comparison, plots and the report, from example measures."""
 
 from io import StringIO
 from pathlib import Path
@@ -20,17 +20,17 @@
     make_side_by_side,
     make_table,
 )
-from redwingpost.bench.tests.test_measures import a_run, attempt
+from redwingpost.bench.tests.test_measures import make_run, attempt
 from redwingpost.cli.bench import app
 
-CONTRACT = (
+SCENARIO_NAMES = (
     "steady burst hot-organisation slow-target long-jobs overload "
     "primary-loss cut-primary split-data-centre store-outage "
     "lost-store-answer paused-holder key-withdrawal drain "
     "config-conflict proxy-death rolling-replace replica-lag"
 ).split()
 
-MEASURES = (
+MEASURE_NAMES = (
     "scenario site seed policy duration_s requests answered violations "
     "replica_read_share replica_read_share_tolerant failover_gap_s "
     "worst_organisation_ratio wrongful_refusals wrongful_refusal_share "
@@ -42,7 +42,7 @@
 
 
 def measures(policy="redwingpost", violations=(), **counts):
-    run = a_run([attempt("r1", 0.0)])
+    run = make_run([attempt("r1", 0.0)])
     found = find_violations(run) + list(violations)
     given = {"duration_s": 1.0, "reads": 4, "replica_reads": 3, **counts}
     site = SITES.get("yuelan")
@@ -51,16 +51,16 @@
 
 class ContractTest(TestCase):
     def test_every_measure_is_there(self):
-        self.assertEqual(set(MEASURES) - set(measures()), set())
+        self.assertEqual(set(MEASURE_NAMES) - set(measures()), set())
 
     def test_every_scenario_is_there(self):
-        self.assertEqual(set(SCENARIOS.names()), set(CONTRACT))
+        self.assertEqual(set(SCENARIOS.names()), set(SCENARIO_NAMES))
 
 
 class PagesTest(TestCase):
     def test_report_shows_violations_and_failures(self):
-        planted = Violation("at-most-once", "r1 is stored <twice>")
-        runs = [measures(), measures("naive", [planted])]
+        injected = Violation("at-most-once", "r1 is stored <twice>")
+        runs = [measures(), measures("naive", [injected])]
         with TemporaryDirectory() as directory:
             pages = write_report(runs, ["steady: broke"], Path(directory))
             html = pages.html.read_text()
@@ -72,12 +72,12 @@
         self.assertIn("&lt;twice&gt;", html)
 
     def test_terminal_tables(self):
-        planted = Violation("at-most-once", "r1 is stored twice")
+        injected = Violation("at-most-once", "r1 is stored twice")
         output = StringIO()
         console = Console(file=output, width=200)
         console.print(make_table([measures()], "title"))
         console.print(make_side_by_side([measures()], "title"))
-        console.print(make_detail_table(measures("naive", [planted])))
+        console.print(make_detail_table(measures("naive", [injected])))
         self.assertIn("0.750", output.getvalue())
         self.assertIn("r1 is stored twice", output.getvalue())
 
--- a/redwingpost/bench/tests/test_token_bucket.py
+++ b/redwingpost/bench/tests/test_token_bucket.py
@@ -11,7 +11,7 @@
 
 
 def spread(moments, random, width):
-    """Hide each moment of service somewhere inside its interval."""
+    """Return random intervals that contain the given times."""
     return [
         Interval(m - random.random() * width, m + random.random() * width)
         for m in moments
--- a/redwingpost/bench/token_bucket.py
+++ b/redwingpost/bench/token_bucket.py
@@ -1,31 +1,31 @@
-"""Token buckets over recorded times: what a rate allowed.
+"""Token buckets over recorded times.
 
-Both functions answer for a history, after the fact: which requests an
-organisation offered within its rate, and whether the answers it got fit
-its rate and burst at all.
+Both functions evaluate a finished run: which of an organisation's
+requests conformed to its rate, and how many of its answers exceeded
+rate and burst.
 """
 
 from heapq import heappop, heappush
 from typing import NamedTuple
 
-#: Rounding of token arithmetic; far below one statement.
+#: Tolerance for rounding errors, in tokens; far less than a statement's.
 _EPSILON = 1e-9
 
 
 class Interval(NamedTuple):
-    """A request's stay in the system: sent and received, in seconds."""
+    """When a request was sent and its answer received, in seconds."""
 
     sent_at: float
     received_at: float
 
 
 def conforming(due: list[float], rate: float, burst: float) -> list[bool]:
-    """Say for each time whether a full bucket would have let it pass.
+    """Tell which requests a token bucket would have let pass.
 
     Parameters
     ----------
     due : list of float
-        Ascending times in seconds.
+        Times of the requests in ascending order, in seconds.
     rate : float
         Tokens per second.
     burst : float
@@ -34,7 +34,7 @@
     Returns
     -------
     list of bool
-        One entry per time.
+        One entry per request.
 
     Examples
     --------
@@ -59,13 +59,14 @@
     burst: float,
     tolerance_s: float,
 ) -> int:
-    """Count the answers that no schedule of tokens could have allowed.
+    """Count the answers that exceed rate and burst at any token timing.
 
-    Each answered request spent its token somewhere between sending and
-    receiving. The earliest-deadline-first schedule finds a fitting set
-    of moments if there is one (Liu and Layland, "Scheduling Algorithms
-    for Multiprogramming in a Hard-Real-Time Environment", 1973), so a
-    request that misses its end is proof of a grant above the rate.
+    Each answered request took its token at an unknown time between
+    sending and receiving. Earliest-deadline-first scheduling finds
+    feasible times if there are any (Liu and Layland, "Scheduling
+    Algorithms for Multiprogramming in a Hard-Real-Time Environment",
+    1973), so a request that misses its deadline, the receipt of its
+    answer, proves a grant above the rate.
 
     Parameters
     ----------
@@ -76,7 +77,7 @@
     burst : float
         Size of the bucket, full at the start.
     tolerance_s : float
-        How far clocks may differ, in seconds.
+        Highest difference between clocks, in seconds.
 
     Returns
     -------
@@ -96,13 +97,13 @@
     level, over, index = burst, 0, 0
     now = arrivals[0].sent_at if arrivals else 0.0
     while waiting or index < len(arrivals):
-        target = now
+        next_at = now
         if not waiting:
-            target = max(now, arrivals[index].sent_at)
+            next_at = max(now, arrivals[index].sent_at)
         elif level < 1.0 - _EPSILON:
-            target = now + (1.0 - level) / rate
-        level = min(burst, level + (target - now) * rate)
-        now = target
+            next_at = now + (1.0 - level) / rate
+        level = min(burst, level + (next_at - now) * rate)
+        now = next_at
         while index < len(arrivals) and arrivals[index].sent_at <= now:
             arrival = arrivals[index]
             heappush(waiting, (arrival.received_at, arrival.sent_at))
--- a/redwingpost/cli/bench.py
+++ b/redwingpost/cli/bench.py
@@ -30,7 +30,7 @@
     make_spread_table,
     plan,
     run_all,
-    run_limited,
+    run_with_timeout,
 )
 from redwingpost.bench.tables import make_detail_table, make_side_by_side
 from redwingpost.bench.turns import take_turn
@@ -119,7 +119,7 @@
     print_progress = _make_progress_printer()
     try:
         with take_turn(print_progress):
-            finished = run_loop(run_limited(order, print_progress))
+            finished = run_loop(run_with_timeout(order, print_progress))
     except Exception as error:
         # Any failure is reported in one line; the child processes' logs
         # hold the details.
