--- a/redwingpost/agent/tests/test_cuts.py
+++ b/redwingpost/agent/tests/test_cuts.py
@@ -135,10 +135,10 @@
         # sends them no callers, and become ready once the store is back.
         fleet = TestFleet(SIX, net=52)
         await fleet.submit(BODY, 0)
-        fleet.platform.away = True
+        fleet.platform.unavailable = True
         await fleet.start()
         await fleet.until_all_known()
         self.assertFalse(any(a.ready for a in fleet.agents.values()))
-        fleet.platform.away = False
+        fleet.platform.unavailable = False
         await fleet.until(lambda agent: agent.ready)
         await fleet.stop()
--- a/redwingpost/agent/tests/test_fleet.py
+++ b/redwingpost/agent/tests/test_fleet.py
@@ -57,14 +57,14 @@
         await fleet.start()
         await fleet.until_all_known()
         await fleet.until(has_version(1))
-        fleet.platform.away = True
+        fleet.platform.unavailable = True
         await fleet.withdraw("vm-6", KEY)
         await fleet.until(knows_withdrawal)
         await fleet.stop("vm-3")
         await fleet.start("vm-3")
         await fleet.until(has_version(1))
         await fleet.until(knows_withdrawal)
-        fleet.platform.away = False
+        fleet.platform.unavailable = False
         await fleet.until(has_version(2))
         await fleet.stop()
 
--- a/redwingpost/agent/tests/test_promoter.py
+++ b/redwingpost/agent/tests/test_promoter.py
@@ -109,7 +109,7 @@
         # it had are reported as diverged.
         observed = ObservedGroup(net=51)
         await observed.start()
-        observed.fleet.platform.away = True
+        observed.fleet.platform.unavailable = True
         await observed.member("a").die()
         await observed.fleet.until(
             lambda agent: view_of(agent).term > 1
--- a/redwingpost/bench/__init__.py
+++ b/redwingpost/bench/__init__.py
@@ -1,6 +1,6 @@
-"""Load generator, scenarios and oracle: the experiments of a site.
+"""Load generator, scenarios and oracle: end-to-end tests of a site.
 
 The bench starts the real programs on loopback sockets, records what
-callers sent and received, and judges it by the record and the targets'
-final contents alone.
+callers sent and received, and checks the results using only that
+record and the targets' final contents.
 """
--- a/redwingpost/bench/balancer.py
+++ b/redwingpost/bench/balancer.py
@@ -1,7 +1,6 @@
-"""The platform's balancer: which proxies new requests may go to.
+"""A load balancer that sends requests to ready proxies only.
 
-It asks every proxy's ``/readyz`` and sends nobody to one that does not
-say "ready", as a cloud's load balancer does.
+It polls every proxy's ``/readyz``, as a cloud load balancer does.
 """
 
 from asyncio import gather
@@ -15,12 +14,12 @@
 #: Seconds between two health checks of a proxy.
 CHECK_INTERVAL_S = 0.25
 
-#: Seconds after which a check without an answer has failed.
-CHECK_LIMIT_S = 1.0
+#: Timeout of one health check, in seconds.
+CHECK_TIMEOUT_S = 1.0
 
 
 class Balancer(Service):
-    """Keeps the set of ready proxies.
+    """Keeps the set of ready proxies up to date.
 
     Parameters
     ----------
@@ -35,8 +34,8 @@
 
     @Service.task
     async def _check(self) -> None:
-        limit = ClientTimeout(total=CHECK_LIMIT_S)
-        async with ClientSession(timeout=limit) as http:
+        timeout = ClientTimeout(total=CHECK_TIMEOUT_S)
+        async with ClientSession(timeout=timeout) as http:
             while not self.should_stop:
                 await gather(
                     *(
@@ -61,30 +60,34 @@
             self.ready.discard(proxy.vm)
 
     def choose(
-        self, random: Random, allowed: tuple[str, ...], stay: str, roam: float
+        self,
+        random: Random,
+        allowed: tuple[str, ...],
+        previous_vm: str,
+        switch_probability: float,
     ) -> ProxyEndpoint:
         """Pick a proxy for a session's next request.
 
         Parameters
         ----------
         random : Random
-            Source of choice.
+            Random number generator.
         allowed : tuple of str
             VMs that the caller may use; empty for all.
-        stay : str
-            VM the session used last, or "".
-        roam : float
-            Probability that it moves.
+        previous_vm : str
+            VM that the session used last, or "".
+        switch_probability : float
+            Probability that the session moves to another proxy.
 
         Returns
         -------
         ProxyEndpoint
-            A ready one if there is any.
+            A ready proxy if there is one.
         """
-        names = [
+        candidates = [
             vm for vm in sorted(self.ready) if not allowed or vm in allowed
         ]
-        names = names or list(allowed) or sorted(self.proxies_by_vm)
-        if stay in names and random.random() >= roam:
-            return self.proxies_by_vm[stay]
-        return self.proxies_by_vm[random.choice(names)]
+        candidates = candidates or list(allowed) or sorted(self.proxies_by_vm)
+        if previous_vm in candidates and random.random() >= switch_probability:
+            return self.proxies_by_vm[previous_vm]
+        return self.proxies_by_vm[random.choice(candidates)]
--- a/redwingpost/bench/turns.py
+++ b/redwingpost/bench/bench_lock.py
@@ -1,6 +1,6 @@
-"""One bench at a time on a machine: runs take turns by a lock file.
+"""A lock file that allows one bench run at a time on a computer.
 
-Two runs at once would each measure the other's load.
+Two concurrent runs would distort each other's measurements.
 """
 
 from collections.abc import Iterator
@@ -15,12 +15,12 @@
 
 
 @contextmanager
-def take_turn(say: Progress) -> Iterator[None]:
-    """Wait until no other bench runs on this machine."""
+def hold_bench_lock(report_progress: Progress) -> Iterator[None]:
+    """Hold the lock; wait while another bench run holds it."""
     with _LOCK_FILE.open("w") as lock:
         try:
             flock(lock, LOCK_EX | LOCK_NB)
         except BlockingIOError:
-            say("another bench runs on this machine; waiting for it")
+            report_progress("another bench run holds the lock; waiting for it")
             flock(lock, LOCK_EX)
         yield
--- a/redwingpost/bench/callers.py
+++ b/redwingpost/bench/callers.py
@@ -1,8 +1,8 @@
-"""Sessions of callers: connections to proxies, tokens, roaming.
+"""Caller sessions: connections to proxies, session tokens, moves.
 
-A session is one catechist's or secretary's stay. It sends one request
-at a time, keeps a connection to every proxy it has used, and carries
-its token along when it moves to another proxy.
+A session stands for one user at work. It sends one request at a time,
+keeps connections to the proxies that it used last, and passes its
+session token on when it moves to another proxy.
 """
 
 from asyncio import sleep, timeout
@@ -23,27 +23,28 @@
 )
 from redwingpost.core import Code
 
-#: Seconds after which a caller gives an attempt up; twice the deadline
-#: mark, so that it only strikes where a proxy says nothing.
-GIVE_UP_S = 2.0 * DEADLINE_MS / 1000.0
+#: Timeout of one attempt, in seconds: twice the deadline that the
+#: request carries, so that it expires only if the proxy does not answer.
+ATTEMPT_TIMEOUT_S = 2.0 * DEADLINE_MS / 1000.0
 
-#: The same for a long job.
-JOB_GIVE_UP_S = 2.0 * JOB_DEADLINE_MS / 1000.0
+#: Timeout of one attempt of a long job, in seconds.
+JOB_ATTEMPT_TIMEOUT_S = 2.0 * JOB_DEADLINE_MS / 1000.0
 
-#: Seconds for opening a connection to a proxy.
-CONNECT_LIMIT_S = 3.0
+#: Timeout for opening a connection to a proxy, in seconds.
+CONNECT_TIMEOUT_S = 3.0
 
-#: Connections that a session keeps to proxies it has left. The driver
-#: holds a quarter of a megabyte for each, and when a system stalls the
-#: open loop makes thousands of sessions.
-KEPT_CONNECTIONS = 2
+#: Connections that a session keeps open to proxies. The driver allocates
+#: a quarter of a megabyte for each, and when a system stalls the open
+#: loop creates thousands of sessions.
+MAX_CONNECTIONS_PER_SESSION = 2
 
-#: Client-side numbers of MySQL drivers: connection refused, gone, lost.
+#: Client-side error numbers of MySQL drivers: connection refused, gone
+#: or lost.
 CONNECT_FAILED = 2003
 CLIENT_ERRORS = range(2000, 3000)
 
-#: Refusals that ask the caller to connect again, elsewhere.
-GO_ELSEWHERE = frozenset({Code.DRAINING.number, Code.STARTING.number})
+#: Refusals that ask the caller to reconnect through another proxy.
+RECONNECT_CODES = frozenset({Code.DRAINING.number, Code.STARTING.number})
 
 
 class ProxyEndpoint(NamedTuple):
@@ -56,7 +57,7 @@
 
 
 class Credential(NamedTuple):
-    """An organisation's key and the name it has in the history."""
+    """An organisation's key and the key's name in the history."""
 
     organisation: str
     name: str
@@ -73,7 +74,7 @@
 
 
 class Request(NamedTuple):
-    """What a session is to send."""
+    """A request for a session to send."""
 
     operation: Operation
     kind: str
@@ -82,18 +83,18 @@
 
 
 class CallerSession:
-    """One caller, its connections and its token.
+    """One caller with its connections and its session token.
 
     Parameters
     ----------
     name : str
-        Its name in the history.
+        The session's name in the history.
     credential : Credential
-        The key it presents.
+        The key that it authenticates with.
     group : str
-        The database group it works on.
+        The database group that it uses.
     client_delay_s : float
-        One way, in seconds, to every proxy.
+        One-way network delay to every proxy, in seconds.
     """
 
     def __init__(
@@ -113,31 +114,33 @@
         self._connections_by_vm: dict[str, Any] = {}
 
     async def send(self, proxy: ProxyEndpoint, request: Request) -> Outcome:
-        """Send one request through a proxy and wait for its end."""
-        job = request.operation is Operation.JOB
+        """Send one request through a proxy and return its outcome."""
+        is_job = request.operation is Operation.JOB
         try:
-            async with timeout(JOB_GIVE_UP_S if job else GIVE_UP_S):
+            async with timeout(
+                JOB_ATTEMPT_TIMEOUT_S if is_job else ATTEMPT_TIMEOUT_S
+            ):
                 return await self._send(proxy, request)
         except TimeoutError:
-            self._drop(proxy.vm)
+            self._close_connection(proxy.vm)
             return Outcome(Verdict.LOST, detail="no answer in time")
 
     async def _send(self, proxy: ProxyEndpoint, request: Request) -> Outcome:
         if self.vm and self.vm != proxy.vm:
-            await self._take_token()
+            await self._fetch_token()
         self.vm = proxy.vm
         try:
-            connection = await self._connection(proxy)
+            connection = await self._get_connection(proxy)
         except MySQLError as error:
-            return _not_connected(error)
+            return _connect_failure(error)
         except (OSError, EOFError, TimeoutError) as error:
             return Outcome(Verdict.REFUSED, CONNECT_FAILED, None, repr(error))
         await sleep(self._delay_s)
         try:
-            answer = await self._run(connection, request)
+            answer = await self._execute(connection, request)
             outcome = Outcome(Verdict.ANSWERED, answer=answer)
         except MySQLError as error:
-            outcome = _failed(error)
+            outcome = _request_failure(error)
         except (OSError, EOFError) as error:
             outcome = Outcome(Verdict.LOST, detail=repr(error))
         await sleep(self._delay_s)
@@ -145,7 +148,9 @@
             await self._clean_up(proxy.vm, connection, request, outcome)
         return outcome
 
-    async def _run(self, connection: Any, request: Request) -> Answer | None:
+    async def _execute(
+        self, connection: Any, request: Request
+    ) -> Answer | None:
         marks = render_marks(
             request.kind,
             request.operation,
@@ -161,11 +166,11 @@
         rows = await cursor.fetchall()
         return parse_answer(rows[0])
 
-    async def _connection(self, proxy: ProxyEndpoint) -> Any:
+    async def _get_connection(self, proxy: ProxyEndpoint) -> Any:
         connection = self._connections_by_vm.get(proxy.vm)
         if connection is not None and connection.connected:
             return connection
-        async with timeout(CONNECT_LIMIT_S):
+        async with timeout(CONNECT_TIMEOUT_S):
             connection = await connect(
                 host=proxy.ip,
                 port=proxy.caller_port,
@@ -174,16 +179,17 @@
                 db=self.group,
                 autocommit=None,
             )
-        while len(self._connections_by_vm) >= KEPT_CONNECTIONS:
-            self._drop(next(iter(self._connections_by_vm)))
+        while len(self._connections_by_vm) >= MAX_CONNECTIONS_PER_SESSION:
+            self._close_connection(next(iter(self._connections_by_vm)))
         self._connections_by_vm[proxy.vm] = connection
         return connection
 
-    async def _take_token(self) -> None:
-        """Ask the proxy that the session leaves for its token.
+    async def _fetch_token(self) -> None:
+        """Fetch the session token from the proxy that the session leaves.
 
-        A session whose proxy is gone moves without one: the next proxy
-        then learns the group's head before it answers.
+        If that proxy is unreachable, the session moves without a token;
+        the next proxy then looks up the group's newest position before
+        it answers.
         """
         connection = self._connections_by_vm.get(self.vm)
         self._token = ""
@@ -195,29 +201,32 @@
             rows = await cursor.fetchall()
             self._token = rows[0][0] if rows else ""
         except (MySQLError, OSError, EOFError):
-            self._drop(self.vm)
+            self._close_connection(self.vm)
 
     async def _clean_up(
         self, vm: str, connection: Any, request: Request, outcome: Outcome
     ) -> None:
-        """Leave no transaction open after a failure inside one."""
+        """Reset the connection or session after a failed attempt.
+
+        No transaction may stay open after a failure inside it.
+        """
         if outcome.code == Code.POSITION_LOST.number:
-            self._start_afresh()
+            self._discard_session_state()
         elif outcome.verdict is Verdict.LOST:
-            self._drop(vm)
+            self._close_connection(vm)
         elif request.operation is Operation.PAIR:
             try:
                 await connection.cursor().execute("ROLLBACK")
             except (MySQLError, OSError, EOFError):
-                self._drop(vm)
+                self._close_connection(vm)
 
-    def _start_afresh(self) -> None:
-        """Give up what the session had seen, as it was told to."""
+    def _discard_session_state(self) -> None:
+        """Drop the token and all connections after a lost position."""
         self._token = ""
         for vm in list(self._connections_by_vm):
-            self._drop(vm)
+            self._close_connection(vm)
 
-    def _drop(self, vm: str) -> None:
+    def _close_connection(self, vm: str) -> None:
         connection = self._connections_by_vm.pop(vm, None)
         if connection is not None:
             connection.close()
@@ -229,20 +238,20 @@
         self._connections_by_vm.clear()
 
 
-def _number(error: MySQLError) -> int:
+def _error_number(error: MySQLError) -> int:
     number = error.args[0] if error.args else 0
     return number if isinstance(number, int) else 0
 
 
-def _not_connected(error: MySQLError) -> Outcome:
-    number = _number(error)
+def _connect_failure(error: MySQLError) -> Outcome:
+    number = _error_number(error)
     if number in CLIENT_ERRORS:
         number = CONNECT_FAILED
     return Outcome(Verdict.REFUSED, number, None, str(error))
 
 
-def _failed(error: MySQLError) -> Outcome:
-    number = _number(error)
+def _request_failure(error: MySQLError) -> Outcome:
+    number = _error_number(error)
     if number == 0 or number in CLIENT_ERRORS:
         return Outcome(Verdict.LOST, detail=str(error))
     return Outcome(Verdict.REFUSED, number, None, str(error))
--- a/redwingpost/bench/children.py
+++ b/redwingpost/bench/children.py
@@ -1,4 +1,4 @@
-"""Child processes of a bench run: started, signalled and ended by id."""
+"""Child processes of a bench run, signalled and ended by process id."""
 
 from asyncio import create_subprocess_exec, subprocess, wait_for
 from collections.abc import Sequence
@@ -8,21 +8,21 @@
 from sys import executable
 from typing import NamedTuple
 
-#: Most children of one bench at any time.
+#: Limit of child processes that run at the same time.
 MAX_CHILDREN = 40
 
-#: Seconds a planned stop may take before the child is killed.
-STOP_LIMIT_S = 10.0
+#: Timeout of a planned stop, in seconds; then the child is killed.
+STOP_TIMEOUT_S = 10.0
 
 _TICKS_PER_S = sysconf("SC_CLK_TCK")
 
-#: Places of utime and stime after the command's closing parenthesis in
+#: Indices of utime and stime after the command's closing parenthesis in
 #: ``/proc/<pid>/stat`` (proc_pid_stat(5), fields 14 and 15).
 _UTIME, _STIME = 11, 12
 
 
-class Ended(NamedTuple):
-    """How a child ended: exit code (negative: signal) and CPU seconds."""
+class ExitStatus(NamedTuple):
+    """A child's exit code (negative: signal) and CPU seconds."""
 
     code: int
     cpu_s: float
@@ -38,7 +38,7 @@
     process : asyncio.subprocess.Process
         The started process.
     log : Path
-        Where its standard error goes.
+        File that receives its standard output and standard error.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         return self._process.pid
 
     def cpu_s(self) -> float:
-        """Return user and system seconds so far; 0 once it has ended."""
+        """Return user and system CPU seconds; 0 if the process ended."""
         try:
             stat = Path(f"/proc/{self._process.pid}/stat").read_text()
         except OSError:
@@ -69,31 +69,33 @@
         return ticks / _TICKS_PER_S
 
     def pause(self) -> None:
-        """Stop the process where it stands."""
+        """Suspend the process with SIGSTOP."""
         self._process.send_signal(SIGSTOP)
 
     def resume(self) -> None:
-        """Let a paused process go on, unaware."""
+        """Resume a paused process with SIGCONT."""
         self._process.send_signal(SIGCONT)
 
-    async def kill(self) -> Ended:
-        """End the process without warning."""
+    async def kill(self) -> ExitStatus:
+        """End the process with SIGKILL."""
         return await self._end(SIGKILL)
 
-    async def stop(self, limit_s: float = STOP_LIMIT_S) -> Ended:
-        """Ask for a planned stop; kill what is not gone in time."""
-        return await self._end(SIGTERM, limit_s)
+    async def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> ExitStatus:
+        """Stop the process with SIGTERM; kill it after the timeout."""
+        return await self._end(SIGTERM, timeout_s)
 
-    async def _end(self, number: int, limit_s: float = STOP_LIMIT_S) -> Ended:
+    async def _end(
+        self, signal_number: int, timeout_s: float = STOP_TIMEOUT_S
+    ) -> ExitStatus:
         cpu_s = self.cpu_s()
         if self.running:
-            self._process.send_signal(number)
+            self._process.send_signal(signal_number)
         try:
-            await wait_for(self._process.wait(), limit_s)
+            await wait_for(self._process.wait(), timeout_s)
         except TimeoutError:
             self._process.kill()
             await self._process.wait()
-        return Ended(self._process.returncode, cpu_s)
+        return ExitStatus(self._process.returncode, cpu_s)
 
 
 class Children:
@@ -101,22 +103,22 @@
 
     def __init__(self, directory: Path) -> None:
         self.directory = directory
-        self._by_name: dict[str, Child] = {}
-        self._spent_s_by_name: dict[str, float] = {}
+        self._children_by_name: dict[str, Child] = {}
+        self._ended_cpu_s_by_name: dict[str, float] = {}
 
     def __getitem__(self, name: str) -> Child:
-        return self._by_name[name]
+        return self._children_by_name[name]
 
     def names(self, prefix: str = "") -> list[str]:
         """Return the names of running children, sorted."""
         return sorted(
             name
-            for name, child in self._by_name.items()
+            for name, child in self._children_by_name.items()
             if child.running and name.startswith(prefix)
         )
 
     async def start(self, name: str, arguments: Sequence[str]) -> Child:
-        """Start ``python -m`` with arguments; its log is a file.
+        """Start ``python -m`` with arguments and log its output to a file.
 
         Raises
         ------
@@ -124,7 +126,7 @@
             If too many children are running.
         """
         if len(self.names()) >= MAX_CHILDREN:
-            raise RuntimeError(f"more than {MAX_CHILDREN} children")
+            raise RuntimeError(f"more than {MAX_CHILDREN} child processes")
         log = self.directory / f"{name.replace(' ', '-')}.log"
         with log.open("ab") as output:
             process = await create_subprocess_exec(
@@ -136,28 +138,30 @@
                 stderr=output,
             )
         child = Child(name, process, log)
-        self._by_name[name] = child
+        self._children_by_name[name] = child
         return child
 
-    async def end(self, name: str, planned: bool) -> Ended:
-        """End one child and remember the processor time it took."""
-        child = self._by_name[name]
-        ended = await (child.stop() if planned else child.kill())
-        spent_s = self._spent_s_by_name.get(name, 0.0)
-        self._spent_s_by_name[name] = spent_s + ended.cpu_s
-        return ended
+    async def end(self, name: str, planned: bool) -> ExitStatus:
+        """End one child and record the CPU time that it used."""
+        child = self._children_by_name[name]
+        status = await (child.stop() if planned else child.kill())
+        spent_s = self._ended_cpu_s_by_name.get(name, 0.0)
+        self._ended_cpu_s_by_name[name] = spent_s + status.cpu_s
+        return status
 
     def cpu_s(self, prefix: str = "") -> float:
-        """Return CPU seconds of all children so called, ended or not."""
+        """Return CPU seconds of all children whose name has the prefix."""
         ended_s = sum(
             spent_s
-            for name, spent_s in self._spent_s_by_name.items()
+            for name, spent_s in self._ended_cpu_s_by_name.items()
             if name.startswith(prefix)
         )
         running = self.names(prefix)
-        return ended_s + sum(self._by_name[n].cpu_s() for n in running)
+        return ended_s + sum(
+            self._children_by_name[n].cpu_s() for n in running
+        )
 
     async def end_all(self) -> None:
-        """Kill whatever still runs."""
+        """Kill all running children."""
         for name in self.names():
             await self.end(name, planned=False)
--- a/redwingpost/bench/orders.py
+++ b/redwingpost/bench/control_client.py
@@ -1,15 +1,16 @@
-"""How the bench speaks to stand-ins and programs: orders over HTTP."""
+"""HTTP client that controls stand-ins and programs of a run."""
 
 from typing import Any, NamedTuple
 
 from aiohttp import ClientError, ClientSession, ClientTimeout
 
-#: Seconds for an order on the local machine; a stand-in is never slow.
-ORDER_LIMIT_S = 3.0
+#: Timeout of a request, in seconds. It may be short: every request stays
+#: on one computer, and a stand-in answers control requests at once.
+REQUEST_TIMEOUT_S = 3.0
 
 
 class HttpPort(NamedTuple):
-    """An IP and port that answer HTTP."""
+    """The address of an HTTP server."""
 
     ip: str
     port: int
@@ -26,9 +27,9 @@
 
 
 class LinkRule(NamedTuple):
-    """One entry of ``POST /faults/links``: networks, kind, milliseconds.
+    """One link rule of ``POST /faults/links`` between two networks.
 
-    ``kind`` is ``cut`` or ``delay``.
+    ``kind`` is ``cut`` or ``delay``; ``ms`` is the delay.
     """
 
     source: str
@@ -37,31 +38,35 @@
     ms: float = 0.0
 
     def to_json(self) -> dict[str, Any]:
-        """Return the rule as the HTTP body wants it."""
+        """Return the rule as JSON for the request body."""
         rule = {"from": self.source, "to": self.target, "kind": self.kind}
         return {**rule, "ms": self.ms} if self.kind == "delay" else rule
 
 
-class OrderFailed(Exception):
-    """A stand-in or program refused an order or did not answer."""
+class ControlRequestFailed(Exception):
+    """A stand-in or program refused a request or did not answer."""
 
 
-class Orders:
-    """Sends orders and reads texts over HTTP."""
+class ControlClient:
+    """Injects faults, sets link rules and reads pages over HTTP."""
 
     def __init__(self) -> None:
-        limit = ClientTimeout(total=ORDER_LIMIT_S)
-        self._http = ClientSession(timeout=limit)
+        timeout = ClientTimeout(total=REQUEST_TIMEOUT_S)
+        self._http = ClientSession(timeout=timeout)
 
     async def close(self) -> None:
         """Close the client."""
         await self._http.close()
 
-    async def fault(self, port: HttpPort, fault: str, **more: Any) -> Any:
-        """Order a stand-in's fault and return its answer."""
+    async def inject_fault(
+        self, port: HttpPort, fault: str, **more: Any
+    ) -> Any:
+        """Inject a fault into a stand-in and return its answer."""
         return await self._post(port, "/faults", {"fault": fault, **more})
 
-    async def links(self, port: HttpPort, rules: list[LinkRule]) -> None:
+    async def set_link_rules(
+        self, port: HttpPort, rules: list[LinkRule]
+    ) -> None:
         """Replace a process's link rules."""
         body = {"rules": [rule.to_json() for rule in rules]}
         await self._post(port, "/faults/links", body)
@@ -70,23 +75,25 @@
         try:
             async with self._http.post(port.url(path), json=body) as answer:
                 if answer.status != 200:
-                    raise OrderFailed(
+                    raise ControlRequestFailed(
                         f"{port.url(path)}: {await answer.text()}"
                     )
                 return await answer.json()
         except (ClientError, OSError, TimeoutError) as error:
-            raise OrderFailed(f"{port.url(path)}: {error!r}") from error
+            raise ControlRequestFailed(
+                f"{port.url(path)}: {error!r}"
+            ) from error
 
-    async def answers(self, port: HttpPort, path: str) -> bool:
-        """Say whether a GET is answered with 200."""
+    async def is_answered(self, port: HttpPort, path: str) -> bool:
+        """Return whether a GET request is answered with status 200."""
         try:
             async with self._http.get(port.url(path)) as answer:
                 return answer.status == 200
         except (ClientError, OSError, TimeoutError):
             return False
 
-    async def text(self, port: HttpPort, path: str) -> str:
-        """Return a GET's body, or "" where nobody answers."""
+    async def get_text(self, port: HttpPort, path: str) -> str:
+        """Return the body of a GET request, or "" if it fails."""
         try:
             async with self._http.get(port.url(path)) as answer:
                 return await answer.text()
--- a/redwingpost/bench/fleet.py
+++ b/redwingpost/bench/fleet.py
@@ -1,4 +1,4 @@
-"""The real programs of a run, as children on loopback sockets."""
+"""The real programs of a run: child processes on loopback sockets."""
 
 from asyncio import gather, sleep
 from collections.abc import Iterator
@@ -11,7 +11,13 @@
 from loguru import logger
 from prometheus_client.parser import text_string_to_metric_families
 
-from redwingpost.bench.children import Children, Ended
+from redwingpost.bench.children import Children, ExitStatus
+from redwingpost.bench.control_client import (
+    ControlClient,
+    ControlRequestFailed,
+    HttpPort,
+    LinkRule,
+)
 from redwingpost.bench.history import Contents, EditRow, OrderRow
 from redwingpost.bench.layout import (
     GroupMember,
@@ -24,21 +30,20 @@
     render_vm_settings,
 )
 from redwingpost.bench.operators import Operator
-from redwingpost.bench.orders import HttpPort, LinkRule, OrderFailed, Orders
 from redwingpost.bench.ports import find_free_port
 from redwingpost.bench.sites import Site
 from redwingpost.bench.statements import SCHEMA
 
-#: Seconds a program may take until it answers its health check.
-READY_LIMIT_S = 15.0
+#: Timeout until a started program answers its health check, in seconds.
+READY_TIMEOUT_S = 15.0
 
-#: Seconds between two looks at a program that starts.
+#: Seconds between two health checks of a program that starts.
 _POLL_S = 0.05
 
 _PROXY = "redwingpost.cli.proxy"
 
-#: Counter of a process's control traffic by link and way; what stays on
-#: the VM (link "local") crosses no network.
+#: Counter of a process's control traffic by link and direction. Traffic
+#: with link "local" stays on the VM and crosses no network.
 _CONTROL_BYTES = "redwing_control_bytes_total"
 
 REDWINGPOST = "redwingpost"
@@ -46,7 +51,7 @@
 
 
 class NotReady(Exception):
-    """A program did not become ready; its log says why."""
+    """A program did not become ready; its log gives the cause."""
 
 
 class Fleet:
@@ -55,11 +60,11 @@
     Parameters
     ----------
     site : Site
-        Whose sizes apply.
+        Sizes and names of the fleet.
     policy : str
         ``redwingpost`` or ``naive``.
     directory : Path
-        For settings files and logs.
+        Directory of settings files and logs.
     """
 
     def __init__(self, site: Site, policy: str, directory: Path) -> None:
@@ -69,19 +74,19 @@
         self.layout: Layout = make_layout(site, find_free_port)
         self.configuration = make_configuration(self.layout)
         self.children = Children(directory)
-        self.orders = Orders()
+        self.control = ControlClient()
         self.rules: list[LinkRule] = delay_rules(site)
         self._directory = directory
 
     # -- start and stop
 
     async def start(self) -> None:
-        """Start everything and wait until every proxy is ready."""
+        """Start all programs and wait until every proxy is ready."""
         self._write_settings()
         await self._start_standins()
-        await self._make_tables()
+        await self._create_tables()
         if self.has_agents:
-            await self._submit_first()
+            await self._submit_initial_configuration()
         vms = list(self.layout.vms_by_name)
         await gather(*(self.start_vm(vm) for vm in vms))
         await gather(*(self.wait_ready(vm) for vm in vms))
@@ -93,14 +98,14 @@
     def _write_settings(self) -> None:
         configuration = self._path("configuration.json")
         configuration.write_text(dumps(self.configuration))
-        direct = "" if self.has_agents else str(configuration)
+        configuration_file = "" if self.has_agents else str(configuration)
         platform = render_platform_settings(self.layout)
         self._path("platform.toml").write_text(platform)
         for group in self.site.groups:
             text = render_group_settings(self.layout, group)
             self._path(f"{group}.toml").write_text(text)
         for vm in self.layout.vms_by_name.values():
-            text = render_vm_settings(self.layout, vm, direct)
+            text = render_vm_settings(self.layout, vm, configuration_file)
             self._path(f"{vm.name}.toml").write_text(text)
 
     async def _start_standins(self) -> None:
@@ -115,26 +120,28 @@
             )
         await gather(
             *(
-                self._wait(f"standin {name}", port, "/faults")
+                self._wait_until_ok(f"standin {name}", port, "/faults")
                 for name, port in names.items()
             )
         )
 
-    async def _make_tables(self) -> None:
+    async def _create_tables(self) -> None:
         for group in self.site.groups:
-            connection = await self.dial(self.layout.primary(group))
+            connection = await self.connect_to_member(
+                self.layout.primary(group)
+            )
             for statement in SCHEMA:
                 await connection.cursor().execute(statement)
             connection.close()
 
     async def start_vm(self, vm: str) -> None:
-        """Start a VM's agent and proxy, or the baseline's proxy."""
+        """Start a VM's agent and proxy, or only the baseline's proxy."""
         if self.has_agents:
             await self._start("agent", vm, "redwingpost.cli.agent")
         await self.start_proxy(vm)
 
     async def start_proxy(self, vm: str) -> None:
-        """Start a VM's proxy alone."""
+        """Start a VM's proxy without its agent."""
         naive = self.policy == NAIVE
         program = "redwingpost.bench.naive" if naive else _PROXY
         await self._start("proxy", vm, program)
@@ -146,25 +153,27 @@
         )
 
     async def wait_ready(self, vm: str) -> None:
-        """Wait until a VM's proxy takes callers."""
+        """Wait until a VM's proxy accepts callers."""
         address = self.layout.vms_by_name[vm]
         port = HttpPort(address.ip, address.proxy_http_port)
-        await self._wait(f"proxy {vm}", port, "/readyz")
-
-    async def _wait(self, name: str, port: HttpPort, path: str) -> None:
-        limit = monotonic() + READY_LIMIT_S
-        while not await self.orders.answers(port, path):
-            self._check_alive(name, limit)
+        await self._wait_until_ok(f"proxy {vm}", port, "/readyz")
+
+    async def _wait_until_ok(
+        self, name: str, port: HttpPort, path: str
+    ) -> None:
+        deadline_at = monotonic() + READY_TIMEOUT_S
+        while not await self.control.is_answered(port, path):
+            self._check_starting(name, deadline_at)
             await sleep(_POLL_S)
 
-    def _check_alive(self, name: str, limit: float) -> None:
+    def _check_starting(self, name: str, deadline_at: float) -> None:
         child = self.children[name]
-        if not child.running or monotonic() > limit:
+        if not child.running or monotonic() > deadline_at:
             tail = child.log.read_text(errors="replace")[-2000:]
             raise NotReady(f"{name} is not ready; log {child.log}:\n{tail}")
 
-    async def stop(self) -> list[tuple[str, Ended]]:
-        """End everything; proxies and agents by a planned stop."""
+    async def stop(self) -> list[tuple[str, ExitStatus]]:
+        """End all programs; proxies and agents by a planned stop."""
         ended = []
         for prefix in ("proxy", "agent"):
             names = self.children.names(prefix)
@@ -173,12 +182,12 @@
             )
             ended.extend(zip(names, results))
         await self.children.end_all()
-        await self.orders.close()
+        await self.control.close()
         return ended
 
     # -- faults
 
-    def _link_ports(self) -> list[HttpPort]:
+    def _link_rule_ports(self) -> list[HttpPort]:
         ports = list(self.layout.faults_by_group.values())
         running = set(self.children.names())
         for vm in self.layout.vms_by_name.values():
@@ -189,55 +198,57 @@
         return ports
 
     async def set_links(self, rules: list[LinkRule]) -> None:
-        """Put a set of link rules in force in every process."""
+        """Apply a set of link rules in every running process."""
         self.rules = rules
-        await gather(*(self._set_links(p) for p in self._link_ports()))
+        await gather(*(self._set_links(p) for p in self._link_rule_ports()))
 
     async def _set_links(self, port: HttpPort) -> None:
         try:
-            await self.orders.links(port, self.rules)
-        except OrderFailed as error:
-            # A paused or just ended process takes no rules; the run
-            # goes on without it, and the log says so.
-            logger.debug("link rules: {}", error)
+            await self.control.set_link_rules(port, self.rules)
+        except ControlRequestFailed as error:
+            # A paused or just ended process accepts no rules; the run
+            # continues without it.
+            logger.debug("link rules not set: {}", error)
 
     async def member_fault(
         self, member: GroupMember, fault: str, **more: Any
     ) -> Any:
-        """Order a fault of one member."""
+        """Inject a fault into one member."""
         port = self.layout.faults_by_group[member.group]
-        return await self.orders.fault(port, fault, member=member.name, **more)
+        return await self.control.inject_fault(
+            port, fault, member=member.name, **more
+        )
 
     async def platform_fault(self, fault: str, **more: Any) -> Any:
-        """Order a fault of the platform."""
+        """Inject a fault into the platform."""
         port = self.layout.platform_faults
-        return await self.orders.fault(port, fault, **more)
+        return await self.control.inject_fault(port, fault, **more)
 
-    # -- what it costs
+    # -- resource usage
 
     def cpu_s(self) -> float:
-        """Return processor seconds of all proxies and agents so far."""
+        """Return CPU seconds of all proxies and agents so far."""
         children = self.children
         return children.cpu_s("proxy") + children.cpu_s("agent")
 
     async def control_bytes(self) -> float:
-        """Return bytes between VMs and to the platform, both ways.
+        """Return bytes between VMs and the platform, in both directions.
 
-        Processes that have ended since are left out.
+        Processes that have ended are not counted.
         """
         ports = []
         for vm in self.layout.vms_by_name.values():
             ports.append(HttpPort(vm.ip, vm.proxy_http_port))
             ports.append(HttpPort(vm.ip, vm.agent_http_port))
         pages = await gather(
-            *(self.orders.text(port, "/metrics") for port in ports)
+            *(self.control.get_text(port, "/metrics") for port in ports)
         )
         return sum(map(sum_control_bytes, pages))
 
-    # -- what the targets hold
+    # -- contents of the targets
 
-    async def dial(self, member: GroupMember) -> Any:
-        """Connect to a member directly, past every proxy."""
+    async def connect_to_member(self, member: GroupMember) -> Any:
+        """Connect to a member directly, without a proxy."""
         return await connect(
             host=member.ip,
             port=member.port,
@@ -248,9 +259,9 @@
         )
 
     async def current_primary(self, group: str) -> GroupMember | None:
-        """Return the living primary of the highest term."""
+        """Return the running primary with the highest term."""
         port = self.layout.faults_by_group[group]
-        statuses = await self.orders.fault(port, "status")
+        statuses = await self.control.inject_fault(port, "status")
         terms_by_member = {
             name: status["promised_term"]
             for name, status in statuses.items()
@@ -263,20 +274,20 @@
         ]
         return max(leading)[1] if leading else None
 
-    async def contents(self, group: str) -> Contents:
-        """Read what a group holds at the end, from its primary.
+    async def read_contents(self, group: str) -> Contents:
+        """Read a group's final contents from its primary.
 
-        The stand-in's dump is asked, not a connection: the proxies may
-        hold all of those.
+        The contents come from the stand-in's dump instead of a database
+        connection, because the proxies may hold all connections.
 
         Raises
         ------
         NotReady
-            If no member is the primary.
+            If the group has no primary.
         """
         primary = await self.current_primary(group)
         if primary is None:
-            raise NotReady(f"{group} has no primary at the end")
+            raise NotReady(f"{group} has no primary at the end of the run")
         tables = (await self.member_fault(primary, "dump"))["tables"]
         return Contents(
             tuple(
@@ -294,8 +305,8 @@
             ),
         )
 
-    async def _submit_first(self) -> None:
-        """Submit the first configuration as an operator does."""
+    async def _submit_initial_configuration(self) -> None:
+        """Submit the first configuration as an operator."""
         operator = Operator("bench", self.layout.platform_url)
         submission = await operator.submit(self.configuration, base=0)
         await operator.close()
@@ -304,7 +315,7 @@
 
 
 def sum_control_bytes(page: str) -> float:
-    """Add up a metrics page's control bytes that crossed a network.
+    """Return the control bytes of a metrics page that crossed a network.
 
     Examples
     --------
--- a/redwingpost/bench/fleet_cost.py
+++ b/redwingpost/bench/fleet_cost.py
@@ -1,12 +1,13 @@
-"""What the control plane costs a VM, by the size of the fleet.
-
-Runs many agents in one process on real sockets, each on a loopback
-address of its own, over a store in memory. The bytes are the kernel's
-counts by address, so that a relay's can be told from other VMs'. The
-processor time is that of the whole process, divided by the agents; what
-a call costs follows from the number of calls. The same heartbeats,
-exchanges and pushes run as in the field; the store's HTTP calls, which
-only relays make, are left out.
+"""The control plane's cost for each VM, by the size of the fleet.
+
+Runs many agents in one process on real sockets, each on its own
+loopback address, with a store in memory. Bytes are counted by the
+kernel for each address, so that relays and other VMs are counted
+separately. CPU time is that of the whole process divided by the number
+of agents; the cost of an exchange is CPU time divided by the number of
+exchanges. Heartbeats, exchanges and pushes are the same as in
+production; the store's HTTP calls, which only relays make, are left
+out.
 """
 
 from asyncio import run, sleep
@@ -35,9 +36,9 @@
 
 app = Typer(add_completion=False)
 
-#: First octet after 127 of the agents' addresses: apart from those of
-#: scenarios and tests.
-NET = 60
+#: Second octet of the agents' addresses (127.x) in the first data centre;
+#: scenarios and tests use other networks.
+NETWORK = 60
 
 
 class MemoryPlatform(MemoryStore):
@@ -48,17 +49,17 @@
         self.entries: list[VmEntry] = []
 
     async def vms(self) -> Result[tuple[VmEntry, ...], Refusal]:
-        """Return the list."""
+        """Return the VMs."""
         return Ok(tuple(self.entries))
 
 
 class Cost(NamedTuple):
-    """What a run measured; rates are per agent.
+    """Results of a run; rates are per agent.
 
-    ``bytes_per_s`` counts sent and received; ``relay_bytes_per_s`` is
-    the mean over relays, ``plain_bytes_per_s`` over the others.
-    ``exchange_cpu_ms`` is the processor time of both ends of an
-    exchange, all else included.
+    ``bytes_per_s`` counts bytes sent and received; ``relay_bytes_per_s``
+    is the mean over relays, ``plain_bytes_per_s`` over the other VMs.
+    ``exchange_cpu_ms`` is the process's whole CPU time divided by the
+    number of exchanges, so it covers both ends and all other work.
     """
 
     agents: int
@@ -76,8 +77,8 @@
     slowest_change_s: float
 
 
-def make_body(organisations: int, rate: float) -> bytes:
-    """Return a configuration with some organisations and three groups."""
+def make_configuration_body(organisations: int, rate: float) -> bytes:
+    """Return a configuration with ``organisations`` and three groups."""
     groups = {
         f"group-{number}": {
             "connections": 32,
@@ -92,7 +93,7 @@
         }
         for number in range(3)
     }
-    described = {
+    organisations_by_name = {
         f"organisation-{number}": {
             "keys": [{"name": "first", "hash": f"{number:040x}"}],
             "rate": rate,
@@ -101,23 +102,27 @@
         }
         for number in range(organisations)
     }
-    body = {"site": "cost", "organisations": described, "groups": groups}
+    body = {
+        "site": "cost",
+        "organisations": organisations_by_name,
+        "groups": groups,
+    }
     return dumps(body).encode()
 
 
 class CostRun:
-    """One run: a fleet in one process."""
+    """One run with a whole fleet in one process."""
 
     def __init__(
         self,
         agents: int,
         data_centres: int,
-        body: int,
+        organisations: int,
         parts: tuple[str, ...],
     ) -> None:
         self._count = agents
         self._data_centres = data_centres
-        self._organisations = body
+        self._organisations = organisations
         self._parts = parts
         self._platform = MemoryPlatform()
         self._log = ConfigurationLog(self._platform, self._platform)
@@ -127,23 +132,25 @@
         self._slowest_s = 0.0
 
     async def measure(self, seconds: float, change_every: float) -> Cost:
-        """Start the fleet, let it settle, and measure."""
+        """Start the fleet, wait until it has converged, and measure."""
         await self._submit()
         for number in range(self._count):
             await self._start(number)
         await self._settle()
-        before, calls = self._bytes_by_ip(), self._exchanges()
-        cpu_s, began_at = process_time(), monotonic()
+        bytes_before, exchanges_before = self._bytes_by_ip(), self._exchanges()
+        cpu_s, started_at = process_time(), monotonic()
         changes = await self._run_changes(seconds, change_every)
-        elapsed_s = monotonic() - began_at
-        cost = self._cost(before, calls, process_time() - cpu_s, elapsed_s)
+        elapsed_s = monotonic() - started_at
+        cost = self._make_cost(
+            bytes_before, exchanges_before, process_time() - cpu_s, elapsed_s
+        )
         for agent in self._agents:
             await agent.stop()
         return cost._replace(changes=changes)
 
     async def _start(self, number: int) -> None:
         centre = number % self._data_centres
-        ip = f"127.{NET + centre}.{1 + number // self._data_centres}.1"
+        ip = f"127.{NETWORK + centre}.{1 + number // self._data_centres}.1"
         vm = VmSettings(f"vm-{number}", f"dc-{centre}", ip)
         settings = Settings(vm=vm, agent=AgentSettings())
         agent = Agent(settings, platform=self._platform, parts=self._parts)
@@ -155,40 +162,44 @@
         self._platform.entries.append(entry)
 
     async def _settle(self) -> None:
-        """Wait until all have met and the connections stand."""
-        while not all(self._knows_all(agent) for agent in self._agents):
+        """Wait until all agents have converged and their links are open."""
+        while not all(self._has_converged(agent) for agent in self._agents):
             await sleep(0.2)
         await sleep(5.0)
 
-    def _knows_all(self, agent: Agent) -> bool:
+    def _has_converged(self, agent: Agent) -> bool:
         members = agent.context.state.members.by_vm.values()
-        heard = sum(member.beat.incarnation > 0 for member in members)
-        held = agent.context.state.configuration.version
-        return heard == self._count and held == self._version
+        heard_count = sum(member.beat.incarnation > 0 for member in members)
+        held_version = agent.context.state.configuration.version
+        return heard_count == self._count and held_version == self._version
 
-    async def _run_changes(self, seconds: float, every: float) -> int:
+    async def _run_changes(self, seconds: float, interval_s: float) -> int:
         ends_at = monotonic() + seconds
         changes = 0
         while monotonic() < ends_at:
-            if every and monotonic() + every <= ends_at:
+            if interval_s and monotonic() + interval_s <= ends_at:
                 await self._change()
                 changes += 1
-            await sleep(min(every or seconds, ends_at - monotonic()))
+            await sleep(min(interval_s or seconds, ends_at - monotonic()))
         return changes
 
     async def _change(self) -> None:
-        """Submit a version that relays find; wait until all hold it."""
-        began_at = monotonic()
+        """Submit a new version and wait until every agent has it."""
+        started_at = monotonic()
         await self._submit()
-        while not all(self._holds(agent) for agent in self._agents):
+        while not all(
+            self._holds_current_version(agent) for agent in self._agents
+        ):
             await sleep(0.005)
-        self._slowest_s = max(self._slowest_s, monotonic() - began_at)
+        self._slowest_s = max(self._slowest_s, monotonic() - started_at)
 
-    def _holds(self, agent: Agent) -> bool:
+    def _holds_current_version(self, agent: Agent) -> bool:
         return agent.context.state.configuration.version == self._version
 
     async def _submit(self) -> None:
-        body = make_body(self._organisations, 100.0 + self._version)
+        body = make_configuration_body(
+            self._organisations, 100.0 + self._version
+        )
         change = Change(body, self._version, "cost", "", f"s{self._version}")
         accepted = await self._log.submit(change)
         self._version = accepted.ok.version
@@ -210,17 +221,17 @@
             carried_by_ip[own.ip] = carried_by_ip.get(own.ip, 0) + total
         return carried_by_ip
 
-    def _cost(
+    def _make_cost(
         self,
-        before: dict[str, int],
-        calls: float,
+        bytes_before: dict[str, int],
+        exchanges_before: float,
         cpu_s: float,
         elapsed_s: float,
     ) -> Cost:
         after = self._bytes_by_ip()
-        grown = {
+        carried_bytes_by_ip = {
             agent.settings.vm.ip: after.get(agent.settings.vm.ip, 0)
-            - before.get(agent.settings.vm.ip, 0)
+            - bytes_before.get(agent.settings.vm.ip, 0)
             for agent in self._agents
         }
         relays = {
@@ -228,8 +239,10 @@
             for agent in self._agents
             if agent.context.state.is_relay
         }
-        rates = {ip: total / elapsed_s for ip, total in grown.items()}
-        exchanges = self._exchanges() - calls
+        rates = {
+            ip: total / elapsed_s for ip, total in carried_bytes_by_ip.items()
+        }
+        exchanges = self._exchanges() - exchanges_before
         return Cost(
             agents=self._count,
             data_centres=self._data_centres,
@@ -254,12 +267,12 @@
     return round(sum(listed) / len(listed), 1) if listed else 0.0
 
 
-def measure(fleet: CostRun, seconds: float, every: float) -> Cost:
-    """Run one fleet and return what it cost."""
+def measure(fleet: CostRun, seconds: float, interval_s: float) -> Cost:
+    """Run one fleet and return its cost."""
 
     async def work() -> Cost:
         async with kj_loop():
-            return await fleet.measure(seconds, every)
+            return await fleet.measure(seconds, interval_s)
 
     return run(work())
 
@@ -278,8 +291,8 @@
     Example: python -m redwingpost.bench.fleet_cost --agents 96
     """
     logger.remove()
-    made = CostRun(agents, data_centres, organisations, tuple(part))
-    echo(dumps(measure(made, seconds, change_every)._asdict()))
+    cost_run = CostRun(agents, data_centres, organisations, tuple(part))
+    echo(dumps(measure(cost_run, seconds, change_every)._asdict()))
 
 
 if __name__ == "__main__":
--- a/redwingpost/bench/layout.py
+++ b/redwingpost/bench/layout.py
@@ -1,9 +1,8 @@
-"""Where everything of a bench run stands, and its settings files.
+"""Addresses and settings files of a bench run.
 
-Each VM and member has a loopback address of its own in its data
-centre's network, 127.<data centre>.0.0/16, so that a cut between data
-centres is a rule about networks. Ports are handed in: the caller found
-them free.
+Each VM and member has its own loopback address in its data centre's
+network, 127.<data centre>.0.0/16, so that one rule about two networks
+cuts the link between data centres. Free ports come from the caller.
 """
 
 from collections.abc import Callable
@@ -11,8 +10,8 @@
 from typing import Any, NamedTuple
 
 from redwingpost.bench.callers import Credential, ProxyEndpoint
-from redwingpost.bench.orders import HttpPort, LinkRule
-from redwingpost.bench.schedule import CURRENT, FORMER
+from redwingpost.bench.control_client import HttpPort, LinkRule
+from redwingpost.bench.schedule import CURRENT_KEY, FORMER_KEY
 from redwingpost.bench.sites import (
     CONNECT_S,
     MEMBERS,
@@ -24,23 +23,23 @@
 )
 from redwingpost.configuration.keys import hash_key
 
-#: Where the platform's stand-in listens: in no data centre.
+#: Address of the platform's stand-in, outside every data centre.
 PLATFORM_IP = "127.200.0.1"
 
-#: Replicas apply this long after they received, in milliseconds.
+#: Delay between receiving and applying on a replica, in milliseconds.
 APPLY_LAG_MS = 5.0
 
-#: What a statement inside a transaction costs a member, in
-#: milliseconds; the commit costs a write.
+#: Service time of a statement inside a transaction, in milliseconds; the
+#: commit takes the service time of a write.
 STEP_MS = 0.5
 
-#: The platform's list of VMs is this late, in seconds.
+#: Delay until a change shows in the platform's list of VMs, in seconds.
 LIST_LAG_S = 2.0
 
-#: Shared secret of the bench's session tokens.
+#: Secret that signs the bench's session tokens.
 TOKEN_SECRET = "bench-secret-0123456789abcdef"
 
-#: Request kinds that hold a slot for long.
+#: Request kinds that occupy a slot for a long time.
 LONG_KINDS = ("print-run",)
 
 PortFinder = Callable[[str], int]
@@ -61,7 +60,7 @@
 
     @property
     def proxy(self) -> ProxyEndpoint:
-        """Where callers and health checks reach the proxy."""
+        """The endpoint of the proxy for callers and health checks."""
         return ProxyEndpoint(
             self.name, self.ip, self.caller_port, self.proxy_http_port
         )
@@ -91,11 +90,11 @@
 
     @property
     def platform_url(self) -> str:
-        """Where the table service answers."""
+        """The URL of the table service."""
         return self.platform.url("")
 
     def primary(self, group: str) -> GroupMember:
-        """Return the member that leads a group's first term."""
+        """Return the primary of a group's first term."""
         return self.members_by_group[group][0]
 
     def vms_in(self, data_centre: str) -> list[Vm]:
@@ -105,19 +104,19 @@
 
 
 def make_layout(site: Site, find_port: PortFinder) -> Layout:
-    """Place a site's VMs, members and platform.
+    """Assign addresses to a site's VMs, members and platform.
 
     Parameters
     ----------
     site : Site
-        Whose sizes apply.
+        Sizes and names of the fleet.
     find_port : callable
-        IP to a port that is free there.
+        Returns a free port on an IP address.
 
     Returns
     -------
     Layout
-        The first member of group number n stands in data centre n.
+        The first member of group number n is in data centre n.
     """
     group_faults = {
         group: HttpPort(f"127.200.0.{2 + number}", 0)
@@ -138,7 +137,7 @@
                 organisation.name, name, f"{name}-key-{organisation.name}"
             )
             for organisation in site.organisations
-            for name in (CURRENT, FORMER)
+            for name in (CURRENT_KEY, FORMER_KEY)
         },
     )
 
@@ -162,13 +161,13 @@
     site: Site, find_port: PortFinder
 ) -> dict[str, tuple[GroupMember, ...]]:
     members_by_group = {}
-    placed = [0] * len(site.data_centres)
+    member_counts = [0] * len(site.data_centres)
     for number, group in enumerate(site.groups):
         members = []
         for place in range(MEMBERS):
             centre = (number + place) % len(site.data_centres)
-            placed[centre] += 1
-            ip = f"127.{centre + 1}.{100 + placed[centre]}.1"
+            member_counts[centre] += 1
+            ip = f"127.{centre + 1}.{100 + member_counts[centre]}.1"
             members.append(
                 GroupMember(
                     name=f"{group}-{'abc'[place]}",
@@ -184,7 +183,7 @@
 
 
 def delay_rules(site: Site) -> list[LinkRule]:
-    """Return the rules that put data centres their distance apart."""
+    """Return the rules that set the delay between data centres."""
     networks = [_network(n + 1) for n in range(len(site.data_centres))]
     return [
         LinkRule(source, target, "delay", site.between_delay_ms)
@@ -195,7 +194,7 @@
 
 
 def cut_rules(network: str, others: list[str]) -> list[LinkRule]:
-    """Return the rules that cut a network off from others, both ways."""
+    """Return the rules that cut a network off in both directions."""
     rules = []
     for other in others:
         rules.append(LinkRule(network, other, "cut"))
@@ -204,7 +203,7 @@
 
 
 def make_configuration(layout: Layout) -> dict[str, Any]:
-    """Return the configuration that the operators submit first."""
+    """Return the first configuration of a run."""
     site = layout.site
     return {
         "site": site.name,
@@ -239,10 +238,10 @@
 
 
 def _make_keys(layout: Layout, organisation: str) -> list[dict[str, str]]:
-    """Return both keys: as in a rotation, two are valid at once."""
+    """Return both keys: during a rotation two keys are valid."""
     credentials = (
         layout.credentials_by_name[(organisation, name)]
-        for name in (CURRENT, FORMER)
+        for name in (CURRENT_KEY, FORMER_KEY)
     )
     return [{"name": c.name, "hash": hash_key(c.key)} for c in credentials]
 
@@ -258,8 +257,8 @@
     return kinds
 
 
-def _toml(tables: dict[str, dict[str, Any]]) -> str:
-    """Return tables as TOML; JSON scalars and lists are valid there."""
+def _render_toml(tables: dict[str, dict[str, Any]]) -> str:
+    """Return tables as TOML, in which JSON scalars and lists are valid."""
     lines = []
     for table, values in tables.items():
         if table:
@@ -273,7 +272,7 @@
 ) -> str:
     """Return the settings file of a VM's proxy and agent.
 
-    ``configuration_file`` is for the baseline, which has no agent.
+    ``configuration_file`` is set for the baseline, which has no agent.
     """
     proxy = {
         "caller_port": vm.caller_port,
@@ -282,7 +281,7 @@
     }
     if configuration_file:
         proxy["configuration_file"] = configuration_file
-    return _toml(
+    return _render_toml(
         {
             "vm": {
                 "name": vm.name,
@@ -327,13 +326,13 @@
             "port": member.port,
             "data_centre": member.data_centre,
         }
-    return _toml(tables)
+    return _render_toml(tables)
 
 
 def render_platform_settings(layout: Layout) -> str:
     """Return the settings file of the platform's stand-in."""
     listen, faults = layout.platform, layout.platform_faults
-    text = _toml(
+    text = _render_toml(
         {
             "": {"list_lag_s": LIST_LAG_S},
             "listen": {"ip": listen.ip, "port": listen.port},
@@ -341,7 +340,7 @@
         }
     )
     for vm in layout.vms_by_name.values():
-        text += "[[vms]]\n" + _toml(
+        text += "[[vms]]\n" + _render_toml(
             {
                 "": {
                     "vm": vm.name,
--- a/redwingpost/bench/load.py
+++ b/redwingpost/bench/load.py
@@ -9,7 +9,7 @@
 from redwingpost.bench.balancer import Balancer
 from redwingpost.bench.callers import (
     CONNECT_FAILED,
-    GO_ELSEWHERE,
+    RECONNECT_CODES,
     CallerSession,
     Credential,
     Outcome,
@@ -20,23 +20,23 @@
 from redwingpost.bench.schedule import Arrival
 from redwingpost.bench.statements import SHARED_DOCUMENTS, Target
 
-#: Probability that a session's next request goes to another proxy.
-ROAM = 0.15
+#: Probability that a session moves to another proxy before a request.
+SWITCH_PROBABILITY = 0.15
 
-#: Attempts of a keyed request whose outcome its caller does not know.
-KEYED_ATTEMPTS = 3
+#: Attempts of a request with an idempotency key and unknown outcome.
+MAX_KEYED_ATTEMPTS = 3
 
-#: Attempts of any request that was told to connect elsewhere.
-ELSEWHERE_ATTEMPTS = 4
+#: Attempts of a request that was not run and may use another proxy.
+MAX_RECONNECT_ATTEMPTS = 4
 
-#: Seconds a caller waits before it asks for an unknown outcome again.
-RETRY_AFTER_S = 0.3
+#: Seconds a caller waits before it retries after an unknown outcome.
+RETRY_DELAY_S = 0.3
 
-_UNKNOWN_CODES = frozenset({20303, 20304, 20306, 20308})
+_UNKNOWN_OUTCOME_CODES = frozenset({20303, 20304, 20306, 20308})
 
 
-class ServedBy(NamedTuple):
-    """Which member answered a read."""
+class ServedAnswer(NamedTuple):
+    """Which member answered a read or a long job."""
 
     group: str
     member: str
@@ -45,18 +45,18 @@
 
 
 class LoadGenerator:
-    """Sends arrivals at their times through sessions that it reuses.
+    """Sends requests at their due times through reused sessions.
 
     Parameters
     ----------
     balancer : Balancer
-        Names the proxies that take requests.
+        Chooses the proxy of each request.
     credentials_by_name : dict of (str, str) to Credential
         Keys by organisation and name.
     client_delay_s : float
-        One way between callers and proxies, in seconds.
+        One-way delay between callers and proxies, in seconds.
     seed : int
-        Of the sessions' choices.
+        Seed of the sessions' random choices.
     """
 
     def __init__(
@@ -67,22 +67,24 @@
         seed: int,
     ) -> None:
         self.attempts: list[Attempt] = []
-        self.served: list[ServedBy] = []
+        self.served: list[ServedAnswer] = []
         self.max_late_s = 0.0
         self.started_at = 0.0
         self._balancer = balancer
-        self._credentials = credentials_by_name
+        self._credentials_by_name = credentials_by_name
         self._delay_s = client_delay_s
         self._random = Random(seed)
-        self._idle: dict[tuple, list[CallerSession]] = defaultdict(list)
+        self._idle_sessions_by_pool: dict[tuple, list[CallerSession]] = (
+            defaultdict(list)
+        )
         self._sessions: list[CallerSession] = []
-        self._shared_revisions: dict[tuple[str, str, str], int] = defaultdict(
-            int
+        self._revisions_by_shared_document: dict[tuple[str, str, str], int] = (
+            defaultdict(int)
         )
         self._running: set[Task] = set()
 
     async def run(self, arrivals: list[Arrival]) -> None:
-        """Send every arrival when it is due, then wait for all answers."""
+        """Send every request when it is due, then wait for all answers."""
         self.started_at = monotonic()
         for arrival in arrivals:
             wait_s = self.started_at + arrival.due_s - monotonic()
@@ -90,7 +92,7 @@
                 await sleep(wait_s)
             else:
                 self.max_late_s = max(self.max_late_s, -wait_s)
-            task = create_task(self._serve(arrival))
+            task = create_task(self._handle_arrival(arrival))
             self._running.add(task)
             task.add_done_callback(self._running.discard)
         await gather(*self._running)
@@ -99,31 +101,31 @@
         """Close every session's connections."""
         await gather(*(session.close() for session in self._sessions))
 
-    async def _serve(self, arrival: Arrival) -> None:
+    async def _handle_arrival(self, arrival: Arrival) -> None:
         session = self._take_session(arrival)
         request = self._make_request(session, arrival)
         number = 0
         while True:
             number += 1
             proxy = self._balancer.choose(
-                self._random, arrival.vms, session.vm, ROAM
+                self._random, arrival.vms, session.vm, SWITCH_PROBABILITY
             )
-            outcome = await self._attempt(
+            outcome = await self._send_attempt(
                 session, proxy, request, arrival, number
             )
-            if not _tries_again(request.operation, outcome, number):
+            if not _should_retry(request.operation, outcome, number):
                 break
-            if outcome.code not in GO_ELSEWHERE:
-                await sleep(RETRY_AFTER_S)
-        self._idle[_pool_of(arrival)].append(session)
+            if outcome.code not in RECONNECT_CODES:
+                await sleep(RETRY_DELAY_S)
+        self._idle_sessions_by_pool[_session_pool_key(arrival)].append(session)
 
     def _take_session(self, arrival: Arrival) -> CallerSession:
-        idle = self._idle[_pool_of(arrival)]
+        idle = self._idle_sessions_by_pool[_session_pool_key(arrival)]
         if idle:
             return idle.pop(self._random.randrange(len(idle)))
         session = CallerSession(
             name=f"s{len(self._sessions)}",
-            credential=self._credentials[
+            credential=self._credentials_by_name[
                 (arrival.organisation, arrival.credential)
             ],
             group=arrival.group,
@@ -146,8 +148,8 @@
             revision = session.revision
         elif operation is Operation.EDIT_SHARED:
             shared = (arrival.organisation, arrival.group, document)
-            self._shared_revisions[shared] += 1
-            revision = self._shared_revisions[shared]
+            self._revisions_by_shared_document[shared] += 1
+            revision = self._revisions_by_shared_document[shared]
         target = Target(
             arrival.request, arrival.organisation, document, revision
         )
@@ -158,7 +160,7 @@
             arrival.entry.max_staleness_ms,
         )
 
-    async def _attempt(
+    async def _send_attempt(
         self,
         session: CallerSession,
         proxy: ProxyEndpoint,
@@ -195,7 +197,7 @@
         )
         if answer is not None:
             self.served.append(
-                ServedBy(
+                ServedAnswer(
                     session.group,
                     answer.member,
                     request.operation,
@@ -205,24 +207,27 @@
         return outcome
 
 
-def _pool_of(arrival: Arrival) -> tuple[str, str, str]:
+def _session_pool_key(arrival: Arrival) -> tuple[str, str, str]:
     return (arrival.organisation, arrival.credential, arrival.group)
 
 
-def _tries_again(operation: Operation, outcome: Outcome, number: int) -> bool:
-    """Say whether a caller sends its request once more.
+def _should_retry(operation: Operation, outcome: Outcome, number: int) -> bool:
+    """Return whether a caller retries its request.
 
-    A proxy that is not there or asks to connect elsewhere took nothing,
-    so any request may go to the next. An unknown outcome is only asked
-    for again under the same idempotency key, or for a read.
+    A proxy that refuses connections or asks the caller to reconnect has
+    not run the request, so any request may go to another proxy. After
+    an unknown outcome only a request with an idempotency key is retried.
     """
     if outcome.verdict is Verdict.ANSWERED:
         return False
-    if outcome.code in GO_ELSEWHERE or outcome.code == CONNECT_FAILED:
-        return number < ELSEWHERE_ATTEMPTS
-    unknown = outcome.verdict is Verdict.LOST or outcome.code in _UNKNOWN_CODES
+    if outcome.code in RECONNECT_CODES or outcome.code == CONNECT_FAILED:
+        return number < MAX_RECONNECT_ATTEMPTS
+    unknown = (
+        outcome.verdict is Verdict.LOST
+        or outcome.code in _UNKNOWN_OUTCOME_CODES
+    )
     return (
         unknown
         and operation is Operation.KEYED_ORDER
-        and number < KEYED_ATTEMPTS
+        and number < MAX_KEYED_ATTEMPTS
     )
--- a/redwingpost/bench/measures.py
+++ b/redwingpost/bench/measures.py
@@ -14,8 +14,8 @@
 from redwingpost.bench.history import Attempt, Operation, Run, Verdict
 from redwingpost.bench.oracle import Violation
 from redwingpost.bench.service import (
-    fates,
-    serve_by_organisation,
+    measure_by_organisation,
+    request_outcomes,
     worst_fair_share_ratio,
 )
 from redwingpost.bench.sites import Site
@@ -202,8 +202,8 @@
     Measures
         Ready to be written as JSON.
     """
-    requests = fates(_under_valid_keys(run))
-    services = serve_by_organisation(
+    requests = request_outcomes(_under_valid_keys(run))
+    services = measure_by_organisation(
         requests, run.grants_by_organisation, site.weights_by_kind
     )
     weights = {o.name: o.weight for o in site.organisations}
--- a/redwingpost/bench/memory_store.py
+++ b/redwingpost/bench/memory_store.py
@@ -1,4 +1,4 @@
-"""A table and object service in memory that can lose answers."""
+"""A table and object store in memory with injectable faults."""
 
 from collections import deque
 
@@ -7,28 +7,28 @@
 from redwingpost.core import Code, Refusal
 from redwingpost.ports import Condition, Row, TransactResult, Write
 
-#: Faults of one transaction.
+#: Faults that a transaction can meet.
 REFUSE, LOSE_REQUEST, LOSE_ANSWER = "refuse", "lose request", "lose answer"
 
 
 class MemoryStore:
-    """Both ports; ``faults`` holds what befalls the next transactions."""
+    """Both store ports; ``faults`` queues faults of the next transactions."""
 
     def __init__(self) -> None:
         self.rows: dict[tuple[str, str], Row] = {}
         self.bodies: dict[str, bytes] = {}
         self.faults: deque[str] = deque()
-        self.away = False
-        self._versions = 0
+        self.unavailable = False
+        self._last_version = 0
 
     async def read(self, table: str, key: str) -> Result[Row | None, Refusal]:
         """Return one row."""
-        if self.away:
+        if self.unavailable:
             return Error(Refusal(Code.STORE_UNAVAILABLE))
         return Ok(self.rows.get((table, key)))
 
     async def scan(self, table: str, prefix: str = "", after: str = ""):
-        """Return rows in order of their key."""
+        """Return rows in key order."""
         return Ok(
             tuple(
                 row
@@ -40,9 +40,9 @@
     async def transact(
         self, conditions: tuple[Condition, ...], writes: tuple[Write, ...]
     ) -> Result[TransactResult, Refusal]:
-        """Apply the writes, unless a fault says otherwise."""
+        """Apply the writes, subject to the next queued fault."""
         fault = self.faults.popleft() if self.faults else ""
-        if fault == REFUSE or self.away:
+        if fault == REFUSE or self.unavailable:
             return Error(Refusal(Code.STORE_UNAVAILABLE))
         if fault == LOSE_REQUEST:
             return Error(Refusal(Code.STORE_OUTCOME_UNKNOWN))
@@ -53,14 +53,14 @@
 
     async def put(self, key: str, body: bytes) -> Result[None, Refusal]:
         """Store a body."""
-        if self.away:
+        if self.unavailable:
             return Error(Refusal(Code.STORE_UNAVAILABLE))
         self.bodies[key] = body
         return Ok(None)
 
     async def get(self, key: str) -> Result[bytes | None, Refusal]:
         """Return a body."""
-        if self.away:
+        if self.unavailable:
             return Error(Refusal(Code.STORE_UNAVAILABLE))
         return Ok(self.bodies.get(key))
 
@@ -74,10 +74,10 @@
             return TransactResult(False, (), conflicts)
         versions = []
         for write in writes:
-            self._versions += 1
-            row = Row(write.table, write.key, self._versions, write.value)
+            self._last_version += 1
+            row = Row(write.table, write.key, self._last_version, write.value)
             self.rows[write.table, write.key] = row
-            versions.append(self._versions)
+            versions.append(self._last_version)
         return TransactResult(True, tuple(versions), ())
 
     def _version_of(self, condition: Condition) -> int:
--- a/redwingpost/bench/operators.py
+++ b/redwingpost/bench/operators.py
@@ -1,4 +1,4 @@
-"""Operators of a run: they submit configurations and withdraw keys."""
+"""Operators that submit configurations and withdraw keys in a run."""
 
 from json import dumps
 from time import monotonic
@@ -15,19 +15,19 @@
 from redwingpost.core import Refusal
 from redwingpost.settings import PlatformSettings
 
-#: Seconds an operator waits for one answer of the store.
-STORE_LIMIT_S = 2.0
+#: Timeout of an operator's request to the store, in seconds.
+STORE_TIMEOUT_S = 2.0
 
 
 class Submission(NamedTuple):
-    """What became of a change, and when the operator learnt it."""
+    """A change's result, and when the operator received it."""
 
     result: Result[Accepted, Refusal]
     at: float
 
     @property
     def accepted(self) -> bool:
-        """Whether the change stands."""
+        """Whether the change was accepted."""
         return self.result.is_ok()
 
 
@@ -37,20 +37,20 @@
     Parameters
     ----------
     name : str
-        For the audit trail.
+        Name in the audit trail.
     platform_url : str
-        Where the platform answers.
+        URL of the platform.
     """
 
     def __init__(self, name: str, platform_url: str) -> None:
         self.name = name
         self._count = 0
         self._platform = HttpPlatform(
-            PlatformSettings(platform_url, STORE_LIMIT_S)
+            PlatformSettings(platform_url, STORE_TIMEOUT_S)
         )
         self._log = ConfigurationLog(self._platform, self._platform)
 
-    def _change(self, body: bytes, base: int) -> Change:
+    def _make_change(self, body: bytes, base: int) -> Change:
         self._count += 1
         submission = f"{self.name}-{self._count}"
         return Change(body, base, self.name, "", submission)
@@ -58,9 +58,9 @@
     async def submit(
         self, configuration: dict[str, Any], base: int
     ) -> Submission:
-        """Submit a configuration that was written against ``base``."""
+        """Submit a configuration that was edited from version ``base``."""
         body = dumps(configuration).encode()
-        result = await self._log.submit(self._change(body, base))
+        result = await self._log.submit(self._make_change(body, base))
         return Submission(result, monotonic())
 
     async def withdraw(self, credential: Credential) -> Submission:
@@ -68,7 +68,7 @@
         withdrawal = Withdrawal(
             credential.organisation, hash_key(credential.key)
         )
-        change = self._change(b"", 0)
+        change = self._make_change(b"", 0)
         result = await self._log.withdraw([withdrawal], change)
         return Submission(result, monotonic())
 
--- a/redwingpost/bench/primaries.py
+++ b/redwingpost/bench/primaries.py
@@ -1,50 +1,51 @@
-"""Who led each group when: which reads were served by replicas."""
+"""Periods of each group's primaries, to count reads by replicas."""
 
 from typing import NamedTuple
 
-from redwingpost.bench.load import ServedBy
+from redwingpost.bench.load import ServedAnswer
 
 
-class Lead(NamedTuple):
-    """A member that leads from ``since`` on (monotonic seconds)."""
+class PrimaryPeriod(NamedTuple):
+    """A member that is primary from ``since`` on (monotonic seconds)."""
 
     since: float
     member: str
 
 
-def leads(
+def primary_periods(
     first: str, final: str, changed_at: float | None
-) -> tuple[Lead, ...]:
-    """Return a group's leads, newest first.
+) -> tuple[PrimaryPeriod, ...]:
+    """Return the periods of a group's primaries, newest first.
 
     Parameters
     ----------
     first, final : str
-        Primaries at the start and at the end.
+        Primaries at the start and at the end of the run.
     changed_at : float or None
-        When the change was seen, if there was one.
+        Time at which the change was observed, or None without a change.
     """
-    start = Lead(float("-inf"), first)
+    start = PrimaryPeriod(float("-inf"), first)
     if final == first or changed_at is None:
         return (start,)
-    return (Lead(changed_at, final), start)
+    return (PrimaryPeriod(changed_at, final), start)
 
 
-def by_replica(
-    served: ServedBy, leads_by_group: dict[str, tuple[Lead, ...]]
+def is_replica_read(
+    served: ServedAnswer,
+    periods_by_group: dict[str, tuple[PrimaryPeriod, ...]],
 ) -> bool:
-    """Say whether a read was answered by a member that did not lead.
+    """Return whether a read was answered by a replica.
 
     Examples
     --------
     >>> from redwingpost.bench.history import Operation
-    >>> read = ServedBy("g", "a", Operation.READ_OWN, 5.0)
-    >>> by_replica(read, {"g": leads("a", "b", 4.0)})
+    >>> read = ServedAnswer("g", "a", Operation.READ_OWN, 5.0)
+    >>> is_replica_read(read, {"g": primary_periods("a", "b", 4.0)})
     True
-    >>> by_replica(read, {"g": leads("a", "b", 6.0)})
+    >>> is_replica_read(read, {"g": primary_periods("a", "b", 6.0)})
     False
     """
-    for lead in leads_by_group[served.group]:
-        if served.received_at >= lead.since:
-            return served.member != lead.member
+    for period in periods_by_group[served.group]:
+        if served.received_at >= period.since:
+            return served.member != period.member
     return False
--- a/redwingpost/bench/probes.py
+++ b/redwingpost/bench/probes.py
@@ -1,4 +1,4 @@
-"""Probes of a change: when does every proxy act on it?"""
+"""Probes that measure when every proxy applies a new key."""
 
 from asyncio import gather, sleep, timeout
 from collections.abc import Iterable
@@ -12,16 +12,16 @@
 #: Seconds between two probes of a proxy.
 PROBE_INTERVAL_S = 0.03
 
-#: Seconds after which a change that isn't in force is given up.
-PROBE_LIMIT_S = 6.0
+#: Timeout until a new key is in force at a proxy, in seconds.
+PROBE_TIMEOUT_S = 6.0
 
 
 async def is_accepted(
     proxy: ProxyEndpoint, credential: Credential, group: str
 ) -> bool:
-    """Say whether a proxy takes a key just now."""
+    """Return whether a proxy accepts a key now."""
     try:
-        async with timeout(PROBE_LIMIT_S):
+        async with timeout(PROBE_TIMEOUT_S):
             connection = await connect(
                 host=proxy.ip,
                 port=proxy.caller_port,
@@ -39,9 +39,9 @@
 async def wait_in_force(
     proxies: Iterable[ProxyEndpoint], credential: Credential, group: str
 ) -> float | None:
-    """Return when (monotonic) the last proxy took a new key.
+    """Return when (monotonic seconds) the last proxy accepted a new key.
 
-    None means that some proxy still refused it when time was up.
+    None means that a proxy still refused the key at the timeout.
     """
     times = await gather(
         *(_wait_one(proxy, credential, group) for proxy in proxies)
@@ -52,8 +52,8 @@
 async def _wait_one(
     proxy: ProxyEndpoint, credential: Credential, group: str
 ) -> float | None:
-    limit = monotonic() + PROBE_LIMIT_S
-    while monotonic() < limit:
+    deadline_at = monotonic() + PROBE_TIMEOUT_S
+    while monotonic() < deadline_at:
         if await is_accepted(proxy, credential, group):
             return monotonic()
         await sleep(PROBE_INTERVAL_S)
--- a/redwingpost/bench/runner.py
+++ b/redwingpost/bench/runner.py
@@ -1,4 +1,4 @@
-"""Run one scenario from an empty machine to its measures."""
+"""Run one scenario: start the programs, send the load, measure."""
 
 from asyncio import create_task, gather, sleep
 from collections.abc import Callable
@@ -20,22 +20,26 @@
     measure,
 )
 from redwingpost.bench.oracle import find_violations
-from redwingpost.bench.primaries import Lead, by_replica, leads
-from redwingpost.bench.scenario import SCENARIOS, Scenario, Stage
+from redwingpost.bench.primaries import (
+    PrimaryPeriod,
+    is_replica_read,
+    primary_periods,
+)
+from redwingpost.bench.scenario import SCENARIOS, Scenario, ScenarioContext
 from redwingpost.bench.schedule import draw_arrivals
 from redwingpost.bench.sites import SITES
 
-#: A load generator that sends later than this was itself the limit, and
-#: the run says so instead of blaming the system.
-LATE_LIMIT_S = 0.25
+#: Delay of a request, in seconds, above which the load generator itself
+#: was too slow; the run reports this, because the system is not the cause.
+MAX_LATE_S = 0.25
 
 POLICIES = (REDWINGPOST, NAIVE)
 
 Progress = Callable[[str], None]
 
 
-class Order(NamedTuple):
-    """What to run."""
+class RunSpec(NamedTuple):
+    """Scenario, site, seed and policy of a run."""
 
     scenario: str
     site: str
@@ -44,14 +48,14 @@
 
 
 #: Seconds between the fleet's readiness and the load. A fleet that has
-#: just started knows nothing of what was spent before it and begins with
-#: empty buckets; the smallest organisation's fills in three seconds. The
-#: oracle takes the buckets for full at the first request.
-FILL_S = 3.0
+#: just started has no record of earlier use and begins with empty token
+#: buckets; the smallest organisation's bucket fills in three seconds. The
+#: oracle assumes full buckets at the first request.
+BUCKET_FILL_S = 3.0
 
 
-class Finished(NamedTuple):
-    """A run's measures with its history and what was noted."""
+class RunResult(NamedTuple):
+    """A run's measures, history, log directory and notes."""
 
     measures: Measures
     run: Run
@@ -59,39 +63,39 @@
     notes: dict[str, float]
 
 
-async def run_scenario(order: Order, say: Progress) -> Finished:
-    """Start everything, send the load, stop, check and measure.
+async def run_scenario(spec: RunSpec, report_progress: Progress) -> RunResult:
+    """Start all programs, send the load, stop, check and measure.
 
     Parameters
     ----------
-    order : Order
+    spec : RunSpec
         Scenario, site, seed and policy by name.
-    say : callable
-        Gets one line for each step.
+    report_progress : callable
+        Receives one line for each step.
 
     Returns
     -------
-    Finished
-        The run went to its end; violations are in its measures.
+    RunResult
+        Result of a completed run; its measures hold any violations.
     """
-    site = SITES.get(order.site)
-    scenario = SCENARIOS.get(order.scenario)()
+    site = SITES.get(spec.site)
+    scenario = SCENARIOS.get(spec.scenario)()
     directory = Path(mkdtemp(prefix="redwing-bench-"))
-    fleet = Fleet(site, order.policy, directory)
+    fleet = Fleet(site, spec.policy, directory)
     began_at = monotonic()
     try:
-        say("starting stand-ins, agents and proxies")
+        report_progress("starting stand-ins, agents and proxies")
         await fleet.start()
-        say(f"ready after {monotonic() - began_at:.1f} s")
-        await sleep(FILL_S)
-        return await _run_load(order, scenario, fleet, say)
+        report_progress(f"ready after {monotonic() - began_at:.1f} s")
+        await sleep(BUCKET_FILL_S)
+        return await _run_load(spec, scenario, fleet, report_progress)
     finally:
         await fleet.stop()
 
 
 async def _run_load(
-    order: Order, scenario: Scenario, fleet: Fleet, say: Progress
-) -> Finished:
+    spec: RunSpec, scenario: Scenario, fleet: Fleet, report_progress: Progress
+) -> RunResult:
     site = fleet.site
     balancer = Balancer(
         {name: vm.proxy for name, vm in fleet.layout.vms_by_name.items()}
@@ -100,59 +104,66 @@
         balancer,
         fleet.layout.credentials_by_name,
         site.client_delay_ms / 1000.0,
-        order.seed,
+        spec.seed,
     )
-    arrivals = draw_arrivals(scenario.streams(site), order.seed)
-    stage = Stage(fleet, load, order.seed)
+    arrivals = draw_arrivals(scenario.streams(site), spec.seed)
+    context = ScenarioContext(fleet, load, spec.seed)
     await balancer.start()
-    say(f"load: {len(arrivals)} requests in {scenario.load_s:.0f} s")
+    report_progress(
+        f"load: {len(arrivals)} requests in {scenario.load_s:.0f} s"
+    )
     cpu_before_s = fleet.cpu_s()
     bytes_before = await fleet.control_bytes()
     began_at = monotonic()
-    disturbing = create_task(scenario.disturb(stage))
+    event_task = create_task(scenario.run_events(context))
     try:
         await load.run(arrivals)
-        await disturbing
+        await event_task
     finally:
-        disturbing.cancel()
-        await stage.close()
+        event_task.cancel()
+        await context.close()
         await load.close()
         await balancer.stop()
     duration_s = monotonic() - began_at
     cpu_s = fleet.cpu_s() - cpu_before_s
     control_bytes = await fleet.control_bytes() - bytes_before
-    say("reading the targets' final contents")
-    run = await _finish_run(fleet, load, stage)
-    leads_by_group = await _find_leads(stage, run)
-    say("checking the history")
-    counts = _count(stage, load, run, leads_by_group)._replace(
+    report_progress("reading the targets' final contents")
+    run = await _finish_run(fleet, load, context)
+    periods_by_group = await _find_primary_periods(context, run)
+    report_progress("checking the history")
+    counts = _count(context, load, run, periods_by_group)._replace(
         duration_s=duration_s,
         cpu_s=cpu_s,
-        # Where processes were replaced their counts are gone.
+        # The counts of replaced processes are lost, so the difference
+        # may be negative.
         control_bytes=control_bytes if control_bytes > 0 else None,
     )
     measures = measure(
-        order.scenario,
+        spec.scenario,
         site,
-        order.seed,
-        order.policy,
+        spec.seed,
+        spec.policy,
         run,
-        find_violations(run) + stage.violations,
+        find_violations(run) + context.violations,
         counts,
     )
     notes = {
         "load_late_s": round(load.max_late_s, 3),
         "machine_load_average": round(getloadavg()[0], 1),
-        **stage.notes,
+        **context.notes,
     }
-    if load.max_late_s > LATE_LIMIT_S:
-        say(f"the load generator was up to {load.max_late_s:.2f} s late")
-    return Finished(measures, run, fleet.children.directory, notes)
+    if load.max_late_s > MAX_LATE_S:
+        report_progress(
+            f"the load generator sent up to {load.max_late_s:.2f} s late"
+        )
+    return RunResult(measures, run, fleet.children.directory, notes)
 
 
-async def _finish_run(fleet: Fleet, load: LoadGenerator, stage: Stage) -> Run:
+async def _finish_run(
+    fleet: Fleet, load: LoadGenerator, context: ScenarioContext
+) -> Run:
     groups = fleet.site.groups
-    contents = await gather(*(fleet.contents(group) for group in groups))
+    contents = await gather(*(fleet.read_contents(group) for group in groups))
     return Run(
         attempts=tuple(load.attempts),
         contents_by_group=dict(zip(groups, contents)),
@@ -162,44 +173,48 @@
             )
             for organisation in fleet.site.organisations
         },
-        withdrawn_at=stage.withdrawn_at,
+        withdrawn_at=context.withdrawn_at,
     )
 
 
-async def _find_leads(stage: Stage, run: Run) -> dict[str, tuple[Lead, ...]]:
-    """Return who led each group: before and after the noted loss."""
-    leads_by_group = {}
-    layout = stage.fleet.layout
-    for group in stage.site.groups:
+async def _find_primary_periods(
+    context: ScenarioContext, run: Run
+) -> dict[str, tuple[PrimaryPeriod, ...]]:
+    """Return each group's primaries before and after the recorded loss."""
+    periods_by_group = {}
+    layout = context.fleet.layout
+    for group in context.site.groups:
         changed_at = None
-        if stage.loss is not None and stage.loss.group == group:
-            gap_s = failover_gap(run, group, stage.loss.at)
-            changed_at = stage.loss.at + (gap_s or 0.0)
-        final = await stage.find_primary(group)
+        if context.loss is not None and context.loss.group == group:
+            gap_s = failover_gap(run, group, context.loss.at)
+            changed_at = context.loss.at + (gap_s or 0.0)
+        final = await context.find_primary(group)
         first = layout.primary(group)
-        leads_by_group[group] = leads(first.name, final.name, changed_at)
-    return leads_by_group
+        periods_by_group[group] = primary_periods(
+            first.name, final.name, changed_at
+        )
+    return periods_by_group
 
 
 def _count(
-    stage: Stage,
+    context: ScenarioContext,
     load: LoadGenerator,
     run: Run,
-    leads_by_group: dict[str, tuple[Lead, ...]],
+    periods_by_group: dict[str, tuple[PrimaryPeriod, ...]],
 ) -> Counts:
     reads = [s for s in load.served if s.operation.reads]
     tolerant = [s for s in reads if s.operation is Operation.READ_TOLERANT]
-    loss = stage.loss
+    loss = context.loss
     return Counts(
         reads=len(reads),
-        replica_reads=sum(by_replica(s, leads_by_group) for s in reads),
+        replica_reads=sum(is_replica_read(s, periods_by_group) for s in reads),
         tolerant_reads=len(tolerant),
         tolerant_replica_reads=sum(
-            by_replica(s, leads_by_group) for s in tolerant
+            is_replica_read(s, periods_by_group) for s in tolerant
         ),
         lost_at=loss.at if loss else None,
         lost_group=loss.group if loss else "",
-        config_in_force_s=stage.config_in_force_s,
+        config_in_force_s=context.config_in_force_s,
         withdrawal_in_force_s=withdrawal_in_force(run),
-        unfinished_on_stop=stage.unfinished_on_stop,
+        unfinished_on_stop=context.unfinished_on_stop,
     )
--- a/redwingpost/bench/scenario.py
+++ b/redwingpost/bench/scenario.py
@@ -1,4 +1,4 @@
-"""What a scenario is, and the registry of all of them."""
+"""Base class, run-time context and registry of scenarios."""
 
 from asyncio import sleep
 from random import Random
@@ -15,19 +15,19 @@
 from redwingpost.bench.sites import Site
 from redwingpost.core import Registry
 
-#: Share of the granted rates that a calm site asks for.
-CALM_SHARE = 0.5
+#: Share of the granted rates that normal load uses.
+NORMAL_LOAD_SHARE = 0.5
 
 
 class Loss(NamedTuple):
-    """A primary that was taken away, and when."""
+    """The group that lost its primary, and when."""
 
     group: str
     at: float
 
 
-class Stage:
-    """What a scenario may do while the load runs.
+class ScenarioContext:
+    """Controls and results of a scenario while the load runs.
 
     Parameters
     ----------
@@ -36,7 +36,7 @@
     load : LoadGenerator
         The running load.
     seed : int
-        For choices of the scenario's own.
+        Seed of the scenario's random choices.
     """
 
     def __init__(self, fleet: Fleet, load: LoadGenerator, seed: int) -> None:
@@ -56,23 +56,23 @@
         """The site of the run."""
         return self.fleet.site
 
-    async def until(self, load_s: float) -> None:
+    async def wait_until(self, load_s: float) -> None:
         """Wait until ``load_s`` seconds after the load began."""
         left_s = self.load.started_at + load_s - monotonic()
         if left_s > 0.0:
             await sleep(left_s)
 
     def choose_group(self) -> str:
-        """Pick a database group."""
+        """Return a random database group."""
         return self.random.choice(self.site.groups)
 
     async def find_primary(self, group: str) -> GroupMember:
-        """Return the member that leads a group just now."""
+        """Return the current primary, or the first one if there is none."""
         primary = await self.fleet.current_primary(group)
         return primary or self.fleet.layout.primary(group)
 
-    def lost_primary(self, group: str) -> None:
-        """Note that a group's primary is lost from now on."""
+    def record_primary_loss(self, group: str) -> None:
+        """Record that a group's primary is lost from now on."""
         self.loss = Loss(group, monotonic())
 
     def operator(self, name: str) -> Operator:
@@ -82,22 +82,22 @@
         return operator
 
     async def close(self) -> None:
-        """Close what the stage opened."""
+        """Close the connections of all operators."""
         for operator in self._operators:
             await operator.close()
 
     async def stop_vm(self, vm: str) -> None:
-        """Stop a VM as planned and count the requests that it cut.
+        """Stop a VM as planned and count what it left unfinished.
 
-        A request is cut if its proxy broke the connection instead of
-        answering, or if the process had to be killed.
+        Counted are requests whose connection was lost before an answer,
+        and processes that did not exit with code 0.
         """
         before = monotonic()
         running = self.fleet.children.names()
         for name in (f"proxy {vm}", f"agent {vm}"):
             if name in running:
-                ended = await self.fleet.children.end(name, planned=True)
-                self.unfinished_on_stop += ended.code != 0
+                status = await self.fleet.children.end(name, planned=True)
+                self.unfinished_on_stop += status.code != 0
         self.unfinished_on_stop += sum(
             attempt.proxy == vm
             and attempt.verdict is Verdict.LOST
@@ -107,22 +107,22 @@
 
 
 class Scenario:
-    """One experiment: what callers send, and what happens meanwhile.
+    """The load of a run and the events during it.
 
-    Subclasses override `streams` and `disturb`. ``load_s`` is the length
-    of the load in seconds; with start and stop a run has to stay under
-    40 s.
+    Subclasses override `streams` and `run_events`. ``load_s`` is the
+    length of the load in seconds; with start and stop a run has to take
+    less than 40 s.
     """
 
     summary = ""
     load_s = 15.0
 
     def streams(self, site: Site) -> tuple[Stream, ...]:
-        """Return the load: by default the calm site's mix."""
-        return site_streams(site, CALM_SHARE, self.load_s)
+        """Return the load; by default the site's mix at normal load."""
+        return site_streams(site, NORMAL_LOAD_SHARE, self.load_s)
 
-    async def disturb(self, stage: Stage) -> None:
-        """Do what the scenario is about; by default nothing."""
+    async def run_events(self, context: ScenarioContext) -> None:
+        """Inject faults or make changes; by default nothing."""
 
 
 SCENARIOS: Registry[type[Scenario]] = Registry("scenario")
--- a/redwingpost/bench/schedule.py
+++ b/redwingpost/bench/schedule.py
@@ -1,8 +1,9 @@
-"""When which organisation wants to send what: the open-loop schedule.
+"""The open-loop schedule: due times and kinds of all requests.
 
-Callers don't wait for one another, so neither does the load generator:
-the times are drawn ahead of the run, from the seed alone. Without that
-a slow system would be asked less, and look better than it is.
+Callers don't wait for one another, so the load generator doesn't wait
+for answers either: the times are drawn before the run from the seed. In
+a closed loop a slow system would receive fewer requests, and its
+measured latency would be too low.
 """
 
 from random import Random
@@ -10,18 +11,18 @@
 
 from redwingpost.bench.sites import MixEntry, Site
 
-#: Name of the key that an organisation's callers present.
-CURRENT = "current"
+#: Name of the key that an organisation's callers use.
+CURRENT_KEY = "current"
 
 #: Name of the key that a scenario withdraws.
-FORMER = "former"
+FORMER_KEY = "former"
 
 
 class Stream(NamedTuple):
-    """Poisson arrivals of one organisation over a stretch of the run.
+    """Poisson arrivals of one organisation during an interval.
 
-    ``rate`` is requests per second; an empty ``vms`` stands for all.
-    ``credential`` names which of its keys the organisation presents.
+    ``rate`` is in requests per second; an empty ``vms`` means all VMs.
+    ``credential`` names the key that the callers use.
     """
 
     organisation: str
@@ -31,11 +32,11 @@
     mix: tuple[MixEntry, ...]
     groups: tuple[str, ...]
     vms: tuple[str, ...] = ()
-    credential: str = CURRENT
+    credential: str = CURRENT_KEY
 
 
 class Arrival(NamedTuple):
-    """One request to send, ``due_s`` after the start of the load."""
+    """One request, due ``due_s`` seconds after the start of the load."""
 
     due_s: float
     request: str
@@ -52,14 +53,14 @@
     Parameters
     ----------
     streams : tuple of Stream
-        Streams of one organisation may overlap; they add up.
+        Rates of overlapping streams of one organisation add up.
     seed : int
         The same streams and seed give the same schedule.
 
     Returns
     -------
     list of Arrival
-        In order of time, each with a name of its own.
+        In order of time, each with a unique request name.
     """
     arrivals = []
     for number, stream in enumerate(streams):
@@ -97,7 +98,7 @@
     end_s: float,
     start_s: float = 0.0,
 ) -> tuple[Stream, ...]:
-    """Return one stream per organisation at a share of its rate.
+    """Return one stream for each organisation at a share of its rate.
 
     Examples
     --------
--- a/redwingpost/bench/service.py
+++ b/redwingpost/bench/service.py
@@ -1,9 +1,10 @@
-"""How each organisation was served: from a run's attempts alone.
+"""The service that each organisation got, from a run's attempts.
 
-What an organisation may ask for is what a full bucket of its rate and
-burst lets pass of the times at which its callers wanted to send. What
-it got is what was answered; above its rate an organisation can't ask
-for particular requests, so there only the sums count.
+An organisation is entitled to the requests that a token bucket of its
+rate and burst, full at the start, admits at their due times. Its service
+is the number of requests that were answered. Above its rate an
+organisation has no right to particular requests, so only the totals are
+compared there.
 """
 
 from collections import defaultdict
@@ -19,8 +20,8 @@
 from redwingpost.bench.token_bucket import conforming
 
 
-class RequestFate(NamedTuple):
-    """One request over all its attempts."""
+class RequestOutcome(NamedTuple):
+    """The result of one request over all its attempts."""
 
     organisation: str
     kind: str
@@ -33,7 +34,7 @@
 
 
 class OrganisationService(NamedTuple):
-    """What one organisation offered, was due, and got.
+    """Requests that an organisation offered, and their service.
 
     ``entitled`` counts the offered requests that fit its rate; the
     weights are by request kind.
@@ -49,75 +50,78 @@
 
     @property
     def ratio(self) -> float:
-        """Weighted service within the rate, at most one."""
+        """Answered weight divided by entitled weight, at most one."""
         if not self.entitled_weight:
             return 1.0
         return min(1.0, self.answered_weight / self.entitled_weight)
 
     @property
     def wrongful(self) -> int:
-        """Refusals that the rate does not explain."""
+        """Number of refusals of requests within the rate."""
         if self.entitled == self.offered:
             return self.refused
         unserved = max(0, self.entitled - self.answered)
         return min(self.refused, unserved)
 
 
-def fates(attempts: tuple[Attempt, ...]) -> list[RequestFate]:
-    """Return what became of each request, by the time it was due."""
+def request_outcomes(attempts: tuple[Attempt, ...]) -> list[RequestOutcome]:
+    """Return the outcome of each request in order of due times."""
     attempts_by_request = defaultdict(list)
     for attempt in attempts:
         name = (attempt.organisation, attempt.request)
         attempts_by_request[name].append(attempt)
-    found = [_fate(tries) for tries in attempts_by_request.values()]
-    return sorted(found, key=lambda fate: fate.due_at)
+    found = [
+        _make_outcome(request_attempts)
+        for request_attempts in attempts_by_request.values()
+    ]
+    return sorted(found, key=lambda outcome: outcome.due_at)
 
 
-def _fate(tries: list[Attempt]) -> RequestFate:
-    last = max(tries, key=lambda attempt: attempt.number)
-    answered = any(t.verdict is Verdict.ANSWERED for t in tries)
-    return RequestFate(
+def _make_outcome(attempts: list[Attempt]) -> RequestOutcome:
+    last = max(attempts, key=lambda attempt: attempt.number)
+    answered = any(t.verdict is Verdict.ANSWERED for t in attempts)
+    return RequestOutcome(
         organisation=last.organisation,
         kind=last.kind,
         operation=last.operation,
         group=last.group,
-        due_at=tries[0].due_at,
+        due_at=attempts[0].due_at,
         answered=answered,
-        refused=not answered and all(said_not_run(t) for t in tries),
+        refused=not answered and all(said_not_run(t) for t in attempts),
         code=0 if answered else last.code,
     )
 
 
-def tokens_of(operation: Operation) -> int:
-    """Return what a request costs: ``BEGIN`` and two statements, or one."""
+def token_cost(operation: Operation) -> int:
+    """Return a request's tokens: 3 for ``BEGIN`` and two statements, or 1."""
     return 3 if operation is Operation.PAIR else 1
 
 
-def _entitled(requests: list[RequestFate], grant: Grant) -> list[bool]:
-    """Say for each request whether the rate covers all its statements."""
-    due = [r.due_at for r in requests for _ in range(tokens_of(r.operation))]
+def _entitled(requests: list[RequestOutcome], grant: Grant) -> list[bool]:
+    """Return for each request whether the rate admits its statements."""
+    due = [r.due_at for r in requests for _ in range(token_cost(r.operation))]
     passed = iter(conforming(due, grant.rate, grant.burst))
     return [
-        all([next(passed) for _ in range(tokens_of(r.operation))])
+        all([next(passed) for _ in range(token_cost(r.operation))])
         for r in requests
     ]
 
 
-def serve_by_organisation(
-    requests: list[RequestFate],
+def measure_by_organisation(
+    requests: list[RequestOutcome],
     grants_by_organisation: dict[str, Grant],
     weights_by_kind: dict[str, float],
 ) -> dict[str, OrganisationService]:
-    """Return the service of every organisation that offered something.
+    """Return the service of every organisation that sent requests.
 
     Parameters
     ----------
-    requests : list of RequestFate
+    requests : list of RequestOutcome
         In order of their due times.
     grants_by_organisation : dict of str to Grant
         Organisations without a grant are left out.
     weights_by_kind : dict of str to float
-        Kinds that are not listed weigh 1.
+        Kinds that are not listed have weight 1.
 
     Returns
     -------
@@ -129,7 +133,7 @@
         if request.organisation in grants_by_organisation:
             requests_by_organisation[request.organisation].append(request)
     return {
-        organisation: _serve(
+        organisation: _measure_organisation(
             organisation,
             offered,
             grants_by_organisation[organisation],
@@ -139,9 +143,9 @@
     }
 
 
-def _serve(
+def _measure_organisation(
     organisation: str,
-    offered: list[RequestFate],
+    offered: list[RequestOutcome],
     grant: Grant,
     weights_by_kind: dict[str, float],
 ) -> OrganisationService:
@@ -165,7 +169,7 @@
 ) -> dict[str, float]:
     """Return the weighted max-min fair division of a capacity.
 
-    Nobody gets more than it demands; what that leaves is divided among
+    No organisation gets more than its demand; the rest is divided among
     the others by weight (Bertsekas and Gallager, "Data Networks", 1992,
     section 6.5.2).
 
@@ -194,10 +198,10 @@
     services_by_organisation: dict[str, OrganisationService],
     weight_by_organisation: dict[str, float],
 ) -> float:
-    """Return the smallest answered part of a fair share.
+    """Return the smallest ratio of answered requests to a fair share.
 
-    The capacity is what all organisations together were answered, so
-    that the ratio judges the division alone.
+    The capacity is the sum of the answers within the organisations'
+    rates, so that the ratio depends only on how it was divided.
     """
     services = services_by_organisation.values()
     demands = {s.organisation: float(s.entitled) for s in services}
--- a/redwingpost/bench/sweep.py
+++ b/redwingpost/bench/sweep.py
@@ -8,20 +8,20 @@
 
 from rich.table import Table
 
+from redwingpost.bench.bench_lock import hold_bench_lock
 from redwingpost.bench.measures import Measures
 from redwingpost.bench.runner import (
-    Finished,
-    Order,
     Progress,
+    RunResult,
+    RunSpec,
     run_scenario,
 )
-from redwingpost.bench.turns import take_turn
 
 #: Seconds that a run may take in all.
 RUN_LIMIT_S = 40.0
 
 
-async def run_limited(order: Order, say: Progress) -> Finished:
+async def run_limited(order: RunSpec, say: Progress) -> RunResult:
     """Run one scenario within the time that a run may take."""
     async with timeout(RUN_LIMIT_S):
         return await run_scenario(order, say)
@@ -39,22 +39,22 @@
     sites: Iterable[str],
     seeds: Iterable[int],
     policies: Iterable[str],
-) -> Iterator[Order]:
+) -> Iterator[RunSpec]:
     """Return every combination, seeds innermost."""
     for scenario, site, policy, seed in product(
         scenarios, sites, policies, list(seeds)
     ):
-        yield Order(scenario, site, seed, policy)
+        yield RunSpec(scenario, site, seed, policy)
 
 
-def run_all(orders: Iterable[Order], say: Progress) -> SweepResult:
+def run_all(orders: Iterable[RunSpec], say: Progress) -> SweepResult:
     """Run orders one after another; a failed run doesn't end the sweep."""
     result = SweepResult([], [])
     for order in orders:
         name = " ".join(map(str, order))
         say(name)
         try:
-            with take_turn(say):
+            with hold_bench_lock(say):
                 finished = run_loop(run_limited(order, lambda _: None))
         except Exception as error:
             # Whatever broke one run must not throw the others' results
--- a/redwingpost/bench/tests/test_load.py
+++ b/redwingpost/bench/tests/test_load.py
@@ -1,4 +1,4 @@
-"""The schedule, the statements and the retry rule of callers."""
+"""Sites, schedules, statements, retries and the load balancer."""
 
 from random import Random
 from unittest import TestCase
@@ -10,7 +10,7 @@
     ProxyEndpoint,
 )
 from redwingpost.bench.history import Operation, Verdict
-from redwingpost.bench.load import _tries_again
+from redwingpost.bench.load import _should_retry
 from redwingpost.bench.schedule import draw_arrivals, site_streams
 from redwingpost.bench.sites import SITES
 from redwingpost.bench.statements import (
@@ -76,7 +76,7 @@
         self.assertEqual(answer.seen.revision, 3)
 
 
-class TriesAgainTest(TestCase):
+class ShouldRetryTest(TestCase):
     def test_table(self):
         def refusal(number):
             return Outcome(Verdict.REFUSED, number)
@@ -99,7 +99,7 @@
         for operation, outcome, number, expected in table:
             with self.subTest(operation=operation, outcome=outcome):
                 self.assertEqual(
-                    _tries_again(operation, outcome, number), expected
+                    _should_retry(operation, outcome, number), expected
                 )
 
 
@@ -111,22 +111,24 @@
         )
         balancer.ready = {"vm-1", "vm-2"}
         table = [
-            ("stays", (), "vm-1", 0.0, {"vm-1"}),
+            ("keeps the previous VM", (), "vm-1", 0.0, {"vm-1"}),
             (
-                "leaves one that is not ready",
+                "moves from a VM that is not ready",
                 (),
                 "vm-3",
                 0.0,
                 {"vm-1", "vm-2"},
             ),
-            ("allowed only", ("vm-2",), "vm-1", 0.0, {"vm-2"}),
-            ("none ready of the allowed", ("vm-3",), "", 0.0, {"vm-3"}),
+            ("only allowed VMs", ("vm-2",), "vm-1", 0.0, {"vm-2"}),
+            ("no allowed VM is ready", ("vm-3",), "", 0.0, {"vm-3"}),
         ]
-        for name, allowed, stay, roam, expected in table:
+        for name, allowed, previous_vm, switch_probability, expected in table:
             with self.subTest(name):
                 random = Random(1)
                 chosen = {
-                    balancer.choose(random, allowed, stay, roam).vm
+                    balancer.choose(
+                        random, allowed, previous_vm, switch_probability
+                    ).vm
                     for _ in range(50)
                 }
                 self.assertEqual(chosen, expected)
--- a/redwingpost/bench/tests/test_measures.py
+++ b/redwingpost/bench/tests/test_measures.py
@@ -15,8 +15,8 @@
 from redwingpost.bench.service import (
     OrganisationService,
     fair_shares,
-    fates,
-    serve_by_organisation,
+    measure_by_organisation,
+    request_outcomes,
     worst_fair_share_ratio,
 )
 from redwingpost.bench.sites import SITES
@@ -80,8 +80,10 @@
         for name, attempts, expected in table:
             with self.subTest(name):
                 run = a_run(attempts)
-                services = serve_by_organisation(
-                    fates(run.attempts), run.grants_by_organisation, {}
+                services = measure_by_organisation(
+                    request_outcomes(run.attempts),
+                    run.grants_by_organisation,
+                    {},
                 )
                 self.assertEqual(services["a"].wrongful, expected)
 
@@ -91,8 +93,10 @@
             attempt("r2", 0.1, OVER_RATE, kind="order"),
         ]
         run = a_run(attempts)
-        services = serve_by_organisation(
-            fates(run.attempts), run.grants_by_organisation, {"order": 3.0}
+        services = measure_by_organisation(
+            request_outcomes(run.attempts),
+            run.grants_by_organisation,
+            {"order": 3.0},
         )
         self.assertEqual(services["a"].ratio, 0.25)
 
@@ -101,7 +105,7 @@
             attempt("r1", 0.0, UNKNOWN),
             attempt("r1", 0.0, number=2),
         )
-        (fate,) = fates(tries)
+        (fate,) = request_outcomes(tries)
         self.assertTrue(fate.answered)
 
 
--- a/redwingpost/bench/tests/test_ports.py
+++ b/redwingpost/bench/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports that stay free until their program listens."""
+"""Chosen ports stay free until their program listens."""
 
 from socket import socket
 from unittest import TestCase
@@ -7,7 +7,7 @@
     FIRST_PORT,
     LAST_PORT,
     find_free_port,
-    first_free,
+    find_first_free,
 )
 
 _IP = "127.0.0.1"
@@ -15,10 +15,11 @@
 
 class PortsTest(TestCase):
     def test_no_outgoing_connection_can_take_them(self) -> None:
-        """Between the search and the listening others open connections.
+        """Chosen ports are outside the system's ephemeral range.
 
-        The system gives those any port of its range; a program whose port
-        is among them ends at its start.
+        An outgoing connection that another process opens before the program
+        listens could take a port of that range; the program would then fail
+        to start.
         """
         range_file = "/proc/sys/net/ipv4/ip_local_port_range"
         with open(range_file, encoding="ascii") as file:
@@ -34,6 +35,6 @@
             taken.bind((_IP, 0))
             port = taken.getsockname()[1]
             free = find_free_port(_IP)
-            self.assertEqual(free, first_free(_IP, [port, free]))
+            self.assertEqual(free, find_first_free(_IP, [port, free]))
             with self.assertRaises(OSError):
-                first_free(_IP, [port])
+                find_first_free(_IP, [port])
--- a/redwingpost/cli/bench.py
+++ b/redwingpost/cli/bench.py
@@ -15,14 +15,15 @@
 from typer import Argument, BadParameter, Exit, Option, Typer
 
 import redwingpost.bench.scenarios  # noqa: F401
+from redwingpost.bench.bench_lock import hold_bench_lock
 from redwingpost.bench.compare import compare as compare_measures, render
 from redwingpost.bench.history import to_record
 from redwingpost.bench.plots import PLOTS, draw
 from redwingpost.bench.report import write_report
 from redwingpost.bench.runner import (
     POLICIES,
-    Order,
     Progress,
+    RunSpec,
 )
 from redwingpost.bench.scenario import SCENARIOS
 from redwingpost.bench.sites import SITES
@@ -33,7 +34,6 @@
     run_limited,
 )
 from redwingpost.bench.tables import make_detail_table, make_side_by_side
-from redwingpost.bench.turns import take_turn
 
 app = Typer(
     add_completion=False,
@@ -115,10 +115,10 @@
     _check_name(scenario, SCENARIOS.names(), "scenario")
     _check_name(site, SITES.names(), "site")
     _check_name(policy, POLICIES, "policy")
-    order = Order(scenario, site, seed, policy)
+    order = RunSpec(scenario, site, seed, policy)
     print_progress = _make_progress_printer()
     try:
-        with take_turn(print_progress):
+        with hold_bench_lock(print_progress):
             finished = run_loop(run_limited(order, print_progress))
     except Exception as error:
         # Any failure is reported in one line; the child processes' logs
--- a/redwingpost/configuration/tests/test_log.py
+++ b/redwingpost/configuration/tests/test_log.py
@@ -148,7 +148,7 @@
         self.assertEqual(len(run(self.log.audit()).ok), 1)
 
     def test_store_away(self):
-        self.store.away = True
+        self.store.unavailable = True
         self.assertEqual(self.submit().error.code, Code.STORE_UNAVAILABLE)
 
 
--- a/redwingpost/proxy/tests/test_feed.py
+++ b/redwingpost/proxy/tests/test_feed.py
@@ -90,7 +90,7 @@
         await proxy.feed.poll(0.0)
         await fleet.stop("vm-1")
         self.assertFalse(await proxy.feed.poll(0.0))
-        fleet.platform.away = True
+        fleet.platform.unavailable = True
         empty = await fleet.start_one("vm-1")
         proxy.feed._agent = PeerAddress(
             empty.settings.vm.ip, empty.server.port
