--- a/redwingpost/bench/sweep.py
+++ b/redwingpost/bench/sweep.py
@@ -8,22 +8,22 @@
 
 from rich.table import Table
 
+from redwingpost.bench.bench_lock import hold_bench_lock
 from redwingpost.bench.measures import Measures
 from redwingpost.bench.runner import (
-    Finished,
-    Order,
     Progress,
+    RunResult,
+    RunSpec,
     run_scenario,
 )
-from redwingpost.bench.turns import take_turn
 
 #: Seconds that a whole run may take.
 RUN_TIMEOUT_S = 40.0
 
 
 async def run_with_timeout(
-    order: Order, report_progress: Progress
-) -> Finished:
+    order: RunSpec, report_progress: Progress
+) -> RunResult:
     """Run one scenario; cancel it after ``RUN_TIMEOUT_S``."""
     async with timeout(RUN_TIMEOUT_S):
         return await run_scenario(order, report_progress)
@@ -41,22 +41,24 @@
     sites: Iterable[str],
     seeds: Iterable[int],
     policies: Iterable[str],
-) -> Iterator[Order]:
+) -> Iterator[RunSpec]:
     """Return all combinations; the seeds vary fastest."""
     for scenario, site, policy, seed in product(
         scenarios, sites, policies, list(seeds)
     ):
-        yield Order(scenario, site, seed, policy)
+        yield RunSpec(scenario, site, seed, policy)
 
 
-def run_all(orders: Iterable[Order], report_progress: Progress) -> SweepResult:
+def run_all(
+    orders: Iterable[RunSpec], report_progress: Progress
+) -> SweepResult:
     """Run all orders one after another; continue after failures."""
     result = SweepResult([], [])
     for order in orders:
         name = " ".join(map(str, order))
         report_progress(name)
         try:
-            with take_turn(report_progress):
+            with hold_bench_lock(report_progress):
                 finished = run_loop(run_with_timeout(order, lambda _: None))
         except Exception as error:
             # One failed run must not discard the others' results. The
