--- a/redwingpost/adapters/mysql_target.py
+++ b/redwingpost/adapters/mysql_target.py
@@ -94,7 +94,7 @@
     ) -> StatementResult:
         """Run one statement; see ``ports.TargetConnection``."""
         if not self.usable:
-            raise TargetLost(sent=False, reason="the connection is closed")
+            raise TargetLost(sent=False, reason="connection was closed")
         try:
             async with time_limit(timeout):
                 return await self._run(sql)
--- a/redwingpost/adapters/platform_http.py
+++ b/redwingpost/adapters/platform_http.py
@@ -139,7 +139,7 @@
         try:
             return Ok(_read_transact(sent.ok))
         except (MsgspecError, KeyError, TypeError) as error:
-            return Error(_outcome_unknown(f"malformed answer: {error!r}"))
+            return Error(_outcome_unknown(f"broken answer: {error!r}"))
 
     async def put(self, key: str, body: bytes) -> Result[None, Refusal]:
         """Store an object."""
@@ -240,7 +240,7 @@
     try:
         return Ok(read())
     except (MsgspecError, KeyError, TypeError) as error:
-        return Error(_unavailable(f"malformed answer: {error!r}"))
+        return Error(_unavailable(f"broken answer: {error!r}"))
 
 
 def _unavailable(detail: str) -> Refusal:
--- a/redwingpost/configuration/log.py
+++ b/redwingpost/configuration/log.py
@@ -149,7 +149,7 @@
             if head.is_error():
                 return head
             if head.ok.row is None:
-                return Error(Refusal(Code.NOT_FOUND, "no version exists yet"))
+                return Error(Refusal(Code.NOT_FOUND, "no version stands"))
             version = head.ok.version
             body = _with_withdrawals(version.body, wanted)
             if body is None:
--- a/redwingpost/node/fleet/relayed_store.py
+++ b/redwingpost/node/fleet/relayed_store.py
@@ -111,7 +111,7 @@
                 is_store_lost or got.error.code is Code.STORE_UNAVAILABLE
             )
         if is_store_lost and not self._may_query_store(table):
-            detail = "this VM's gatherers can't reach the store"
+            detail = "lost to this VM's gatherers"
             return Error(Refusal(Code.STORE_UNAVAILABLE, detail))
         self._store_queried_at_by_table[table] = self._clock.now()
         got = await self._store.changes(table, after, wait_s)
--- a/redwingpost/node/forwarding/channel.py
+++ b/redwingpost/node/forwarding/channel.py
@@ -135,7 +135,7 @@
 
     def _resolve(self, done: Work | Done) -> None:
         if not isinstance(done, Done):
-            raise MessageError("expected an outcome")
+            raise MessageError("no outcome")
         future = self._future_by_number.pop(done.number, None)
         if future is not None and not future.done():
             future.set_result(done)
--- a/redwingpost/node/forwarding/forwarder.py
+++ b/redwingpost/node/forwarding/forwarder.py
@@ -248,7 +248,7 @@
             # An overloaded home also sends nothing. Without the retry
             # budget each of its reads would be sent several times.
             if channel.last_received_at < asked_at and self._budget.spend():
-                raise HomeLost("no message from the home", sent=True)
+                raise HomeLost("silent", sent=True)
 
     def _note_lost(
         self,
--- a/redwingpost/node/forwarding/frames.py
+++ b/redwingpost/node/forwarding/frames.py
@@ -25,7 +25,7 @@
     head = await reader.readexactly(_LENGTH_BYTES)
     length = int.from_bytes(head, "big")
     if not 0 < length <= MAX_MESSAGE_BYTES:
-        raise FrameError(f"{length} bytes is not a valid message length")
+        raise FrameError(f"{length} bytes")
     return await reader.readexactly(length)
 
 
--- a/redwingpost/node/forwarding/peer.py
+++ b/redwingpost/node/forwarding/peer.py
@@ -56,7 +56,7 @@
 HANDLERS: Registry[Handler] = Registry("home action")
 
 _NO_TRANSACTION = Refusal(
-    Code.TRANSACTION_ROLLED_BACK, "the home has no such transaction", 50
+    Code.TRANSACTION_ROLLED_BACK, "the home doesn't hold it", 50
 )
 
 
--- a/redwingpost/node/forwarding/server.py
+++ b/redwingpost/node/forwarding/server.py
@@ -61,7 +61,7 @@
             while True:
                 work = unpack(await read_frame(reader))
                 if not isinstance(work, Work):
-                    raise MessageError("expected a statement")
+                    raise MessageError("no statement")
                 peer.start(work)
         except (OSError, IncompleteReadError):
             # The VM is gone. Its transactions are rolled back below.
--- a/redwingpost/node/group.py
+++ b/redwingpost/node/group.py
@@ -331,7 +331,7 @@
             return None
         return Refusal(
             Code.NO_PRIMARY,
-            "no replica can prove that the primary leads",
+            "no replica may vouch for the primary",
             round(wait_s * 1000),
         )
 
--- a/redwingpost/node/request/reads.py
+++ b/redwingpost/node/request/reads.py
@@ -93,9 +93,7 @@
                 return result
             if self._remaining_s(read) <= 0.0:
                 break
-        return Refusal(
-            Code.NOT_FRESH, "no member proved to be fresh in time", 200
-        )
+        return Refusal(Code.NOT_FRESH, "no member proved fresh in time", 200)
 
     async def _run_at_primary(
         self, group: GroupClient, read: ReadRequest
@@ -169,7 +167,7 @@
     ) -> Outcome:
         untried = list(clients)
         running: set[Task] = set()
-        last: Outcome = NotSent("no member to send to")
+        last: Outcome = NotSent("no member to ask")
         while untried or running:
             if not running:
                 running.add(self._start(hedge, read, untried.pop(0), after))
--- a/redwingpost/node/request/session.py
+++ b/redwingpost/node/request/session.py
@@ -268,9 +268,7 @@
         return _NO_TRANSACTION
     if session.phase is Phase.FAILED:
         session.end_transaction(Phase.IDLE)
-        return Refusal(
-            Code.TRANSACTION_ROLLED_BACK, "the transaction had failed", 50
-        )
+        return Refusal(Code.TRANSACTION_ROLLED_BACK, "it had failed", 50)
     refused = await _refuse_withdrawn_key(session, Phase.IDLE)
     if refused is not None:
         return refused
--- a/redwingpost/operator/actions.py
+++ b/redwingpost/operator/actions.py
@@ -267,7 +267,7 @@
     version: Versioned, edit: Callable[[dict[str, Any]], Refusal | None]
 ) -> Result[bytes, Refusal]:
     if version.version == 0:
-        return Error(Refusal(Code.NOT_FOUND, "no version exists yet"))
+        return Error(Refusal(Code.NOT_FOUND, "no version stands"))
     body = loads(version.body)
     refusal = edit(body)
     if refusal is not None:
--- a/redwingpost/operator/refusals.py
+++ b/redwingpost/operator/refusals.py
@@ -123,9 +123,7 @@
     detail = str(fields.get("detail", ""))
     # The detail of a member's own refusal is the member's name. A common
     # text counts the refusals of all members as one cause.
-    return (
-        "refused by the member" if detail == fields.get("member") else detail
-    )
+    return "a member's word" if detail == fields.get("member") else detail
 
 
 def _explain_rate(fields: dict[str, Any]) -> str:
--- a/redwingpost/platform/caller_server.py
+++ b/redwingpost/platform/caller_server.py
@@ -134,7 +134,7 @@
         message = parse_caller_line(await read_line(self._reader))
         self._reader.has_unread = False
         if not isinstance(message, Startup):
-            self._send(render_error(Refusal(Code.UNSUPPORTED, "no STARTUP")))
+            self._send(render_error(Refusal(Code.UNSUPPORTED, "no start")))
             return False
         opened = await sessions.open_session(message.database, message.key)
         if isinstance(opened, Refusal):
--- a/redwingpost/platform/entries.py
+++ b/redwingpost/platform/entries.py
@@ -128,7 +128,7 @@
 
 def _require_object(row: Row) -> dict[str, Any]:
     if not isinstance(row.value, dict):
-        raise EntryError(f"{row.key}: not a JSON object")
+        raise EntryError(f"{row.key}: not a table")
     return row.value
 
 
--- a/redwingpost/platform/lines.py
+++ b/redwingpost/platform/lines.py
@@ -123,7 +123,7 @@
     'unknown statement'
     """
     if has_control_characters(line):
-        return Malformed("line contains CR, LF or NUL")
+        return Malformed("control characters")
     keyword, _, rest = line.partition(" ")
     if keyword == "QUERY":
         request, _, text = rest.partition(" ")
@@ -138,7 +138,7 @@
 
 def _parse_statement(request: str, text: str) -> Statement | Malformed:
     if request in ("", EMPTY_FIELD):
-        return Malformed("no request id")
+        return Malformed("no id")
     if text == "BEGIN":
         return Statement(request, StatementKind.BEGIN, text)
     if text == "BEGIN READ":
@@ -149,10 +149,10 @@
         return Malformed("unknown statement", request)
     if kind in (StatementKind.COMMIT, StatementKind.ROLLBACK):
         if rest:
-            return Malformed("statement takes no argument", request)
+            return Malformed("nothing may follow", request)
         return Statement(request, kind, text)
     if not rest:
-        return Malformed("statement needs an argument", request)
+        return Malformed("something must follow", request)
     return _parse_arguments(request, kind, text, rest)
 
 
@@ -166,7 +166,7 @@
         return Statement(request, kind, text, name, argument)
     mode, _, shape = argument.partition(" ")
     if mode not in ("READ", "WRITE") or not shape:
-        return Malformed("PREPARE needs READ or WRITE and a shape", request)
+        return Malformed("READ or WRITE and a shape must follow", request)
     prepared = Shape(mode == "WRITE", shape)
     return Statement(request, kind, text, name, argument, prepared)
 
--- a/redwingpost/proxy/forwarder.py
+++ b/redwingpost/proxy/forwarder.py
@@ -204,11 +204,11 @@
             self.in_transaction = False
             if step.action is Action.ANSWER:
                 return _failed_outcome(
-                    Refusal(step.code, "the home VM was lost")
+                    Refusal(step.code, "its home VM was lost")
                 )
         step = self._next_step(call, Failure.NOT_SENT, may_have_run, False)
         return _failed_outcome(
-            Refusal(step.code, "no home VM is reachable", retry_after_ms=500)
+            Refusal(step.code, "no home VM", retry_after_ms=500)
         )
 
     def _addresses(
--- a/redwingpost/proxy/local_answers.py
+++ b/redwingpost/proxy/local_answers.py
@@ -219,7 +219,7 @@
     items = body.split(",")
     for item in items:
         if not _apply_item(item.strip(), state):
-            detail = f"SET {item.strip()[:60]} is not supported"
+            detail = f"SET {item.strip()[:60]} is not carried"
             return Error(Refusal(Code.UNSUPPORTED, detail))
     return Ok(EMPTY_RESULT)
 
--- a/redwingpost/proxy/session.py
+++ b/redwingpost/proxy/session.py
@@ -230,7 +230,7 @@
             return read.error
         token = read.ok
         if marked.marks.session and token.session != marked.marks.session:
-            return Refusal(Code.TOKEN_INVALID, "token of another session")
+            return Refusal(Code.TOKEN_INVALID, "of another session")
         self.caller.current_session = token.session
         state = self.caller.state(token.session)
         state.positions.merge(token.positions_by_group, token.whole)
@@ -430,7 +430,7 @@
     async def use(self, group: str) -> Result[None, Refusal]:
         """Change the connection's database group."""
         if self.in_transaction:
-            detail = "USE inside a transaction is not supported"
+            detail = "USE inside a transaction is not carried"
             return Error(Refusal(Code.UNSUPPORTED, detail))
         self.caller.group = group
         return Ok(None)
--- a/redwingpost/sessions/tokens.py
+++ b/redwingpost/sessions/tokens.py
@@ -129,7 +129,7 @@
         except MsgspecError:
             return Error(Refusal(Code.TOKEN_INVALID))
         if payload.form != _FORMAT_VERSION:
-            return Error(Refusal(Code.TOKEN_INVALID, "unknown token format"))
+            return Error(Refusal(Code.TOKEN_INVALID, "of an unknown form"))
         if payload.organisation != organisation:
             return Error(Refusal(Code.TOKEN_FOREIGN))
         positions = {
--- a/redwingpost/wire/pages.py
+++ b/redwingpost/wire/pages.py
@@ -46,7 +46,7 @@
     try:
         text = inflater.decompress(body, _MAX_UNPACKED_BYTES)
         if not inflater.eof:
-            raise PageError("truncated or too large")
+            raise PageError("cut short, or too large")
         return decode(text)
     except (ZlibError, DecodeError) as error:
         raise PageError(str(error)) from error
