--- a/redwingpost/groups/tests/test_questions.py
+++ b/redwingpost/groups/tests/test_probing.py
@@ -2,7 +2,7 @@
 
 from unittest import TestCase
 
-from redwingpost.groups.questions import (
+from redwingpost.groups.probing import (
     IDLE_PROBE_S,
     IDLE_PROBE_STEP_S,
     OVERDUE_S,
--- a/redwingpost/node/group.py
+++ b/redwingpost/node/group.py
@@ -15,7 +15,7 @@
 from redwingpost.groups.confirmation import needs_confirmation
 from redwingpost.groups.directory import Directory
 from redwingpost.groups.evidence import GroupEvidence
-from redwingpost.groups.questions import (
+from redwingpost.groups.probing import (
     ALERT_INTERVAL_S,
     MemberSilence,
     alert_interval_s,
