--- a/redwingpost/node/group.py
+++ b/redwingpost/node/group.py
@@ -34,7 +34,7 @@
 from redwingpost.ports.clock import Clock
 from redwingpost.ports.database import LinkFactory, MemberEntry
 from redwingpost.takeover.stall import StallDetector
-from redwingpost.takeover.write_watch import WriteWatch
+from redwingpost.takeover.write_tracker import WriteTracker
 
 #: Seconds between rounds of probes to all members. Statements show that a
 #: member is alive, and heartbeats carry samples, so that a round only finds
@@ -84,7 +84,7 @@
     ) -> None:
         self.name = name
         self.evidence = GroupEvidence()
-        self.writes = WriteWatch()
+        self.writes = WriteTracker()
         self.member_by_name: dict[str, MemberClient] = {}
         self._writes_term = 0
         self.stalled_s = 0.0
@@ -439,7 +439,7 @@
             return
         if self.evidence.term != self._writes_term:
             self._writes_term = self.evidence.term
-            self.writes = WriteWatch()
+            self.writes = WriteTracker()
 
     # Changes of members ------------------------------------------------
 
--- a/redwingpost/takeover/write_watch.py
+++ b/redwingpost/takeover/write_tracker.py
@@ -8,12 +8,12 @@
 from itertools import count
 
 
-class WriteWatch:
+class WriteTracker:
     """Tracks the writes in flight at a group's primary; times are seconds.
 
     Examples
     --------
-    >>> watch = WriteWatch()
+    >>> watch = WriteTracker()
     >>> first = watch.start(now=1.0)
     >>> watch.stuck_s(now=3.0)
     2.0
