--- a/redwingpost/node/group.py
+++ b/redwingpost/node/group.py
@@ -15,7 +15,7 @@
 from redwingpost.groups.confirmation import needs_confirmation
 from redwingpost.groups.directory import Directory
 from redwingpost.groups.evidence import GroupEvidence
-from redwingpost.groups.questions import (
+from redwingpost.groups.probing import (
     ALERT_INTERVAL_S,
     MemberSilence,
     alert_interval_s,
@@ -34,7 +34,7 @@
 from redwingpost.ports.clock import Clock
 from redwingpost.ports.database import LinkFactory, MemberEntry
 from redwingpost.takeover.stall import StallDetector
-from redwingpost.takeover.write_watch import WriteWatch
+from redwingpost.takeover.write_tracker import WriteTracker
 
 #: Seconds between rounds of probes to all members. Statements show that a
 #: member is alive, and heartbeats carry samples, so that a round only finds
@@ -84,7 +84,7 @@
     ) -> None:
         self.name = name
         self.evidence = GroupEvidence()
-        self.writes = WriteWatch()
+        self.writes = WriteTracker()
         self.member_by_name: dict[str, MemberClient] = {}
         self._writes_term = 0
         self.stalled_s = 0.0
@@ -331,7 +331,7 @@
             return None
         return Refusal(
             Code.NO_PRIMARY,
-            "no replica can prove that the primary leads",
+            "no replica may vouch for the primary",
             round(wait_s * 1000),
         )
 
@@ -439,7 +439,7 @@
             return
         if self.evidence.term != self._writes_term:
             self._writes_term = self.evidence.term
-            self.writes = WriteWatch()
+            self.writes = WriteTracker()
 
     # Changes of members ------------------------------------------------
 
