--- a/redwingpost/takeover/plan.py
+++ b/redwingpost/takeover/plan.py
@@ -3,7 +3,7 @@
 A primary acknowledges a commit once a replica has received it. A promotion
 is safe under two conditions: the chosen replica's log holds every
 acknowledged commit, and from the moment of the promotion order the old
-primary can't acknowledge another, although it may not know of the order yet.
+primary can't acknowledge another, although the order may not have reached it.
 
 An old primary that answers is stopped first. From then on it acknowledges
 nothing, and its log holds every commit that it has acknowledged. A replica
@@ -79,12 +79,12 @@
     >>> pause_term((MemberStatus(entry, report),))
     6
     """
-    known = [
+    terms = [
         max(item.report.term, item.report.paused_for)
         for item in statuses
         if item.report is not None
     ]
-    return max(known, default=0) + 1
+    return max(terms, default=0) + 1
 
 
 def candidates(
@@ -178,8 +178,8 @@
     >>> may_promote(both[0], Survey((old, *both), None, 2, 1, ZERO_POSITION))
     True
     >>> lost = both[1]._replace(report=None)
-    >>> known = (old, both[0], lost)
-    >>> may_promote(both[0], Survey(known, None, 2, 1, ZERO_POSITION))
+    >>> statuses = (old, both[0], lost)
+    >>> may_promote(both[0], Survey(statuses, None, 2, 1, ZERO_POSITION))
     False
     """
     others = survey.others(chosen.entry.member)
--- a/redwingpost/takeover/roster.py
+++ b/redwingpost/takeover/roster.py
@@ -5,7 +5,7 @@
 member is promoted without regard to it, that member may lack commits that
 only the dropped one and the old primary hold, and callers lose acknowledged
 writes. So a group's roster names all members that the group has had. It is
-kept in the fleet's store, since a VM that has just started knows only the
+kept in the fleet's store, since a VM that has just started has only the
 registry's present list.
 
 A member is removed from the roster under two conditions. It is gone: it
@@ -24,8 +24,9 @@
 #: its end counts as gone: far longer than a crash or a partition lasts.
 PERMANENT_ABSENCE_S = 30.0
 
-#: Members that must hold what a missing one may have confirmed: as many as
-#: held a commit when it was acknowledged.
+#: Smallest number of remaining members that must hold the commits which a
+#: missing one may have confirmed: as many as held a commit when it was
+#: acknowledged.
 MIN_HOLDERS = 2
 
 
--- a/redwingpost/takeover/tests/test_plan.py
+++ b/redwingpost/takeover/tests/test_plan.py
@@ -49,7 +49,7 @@
 class Case(NamedTuple):
     """What members report, and whether the promotion may be ordered.
 
-    ``old`` is the previous primary. None stands for a silent member.
+    ``old`` is the previous primary. A silent member has None.
     """
 
     name: str
--- a/redwingpost/takeover/tests/test_roster.py
+++ b/redwingpost/takeover/tests/test_roster.py
@@ -31,7 +31,7 @@
         stays on the roster. One that restarts at its address has its log,
         under whatever name.
         """
-        known = Roster({}).with_listed((_entry("a", 1), _entry("b", 2)))
+        recorded = Roster({}).with_listed((_entry("a", 1), _entry("b", 2)))
         cases = (
             ("dropped", (_entry("a", 1),), ["a", "b"]),
             ("a third joins", (_entry("c", 3),), ["a", "b", "c"]),
@@ -40,7 +40,7 @@
         )
         for name, listed, expected in cases:
             with self.subTest(name):
-                roster = known.with_listed(listed)
+                roster = recorded.with_listed(listed)
                 self.assertEqual(expected, sorted(roster.member_by_name))
 
     def test_it_lasts_in_the_store(self) -> None:
--- a/redwingpost/takeover/tests/test_takeover.py
+++ b/redwingpost/takeover/tests/test_takeover.py
@@ -19,7 +19,7 @@
     reason_to_act,
 )
 
-_CALM = LeaderView(
+_HEALTHY = LeaderView(
     leader="p",
     is_listed=True,
     is_draining=False,
@@ -49,10 +49,10 @@
 
 class ReasonTest(TestCase):
     def test_when_to_act(self) -> None:
-        silent = _CALM._replace(silent_s=1.2, others_silent_s=(0.9, 1.0))
+        silent = _HEALTHY._replace(silent_s=1.2, others_silent_s=(0.9, 1.0))
         cases = (
-            ("calm", _CALM, None),
-            ("leaving", _CALM._replace(is_draining=True), Reason.LEAVING),
+            ("healthy", _HEALTHY, None),
+            ("leaving", _HEALTHY._replace(is_draining=True), Reason.LEAVING),
             ("silent to all", silent, Reason.SILENT),
             (
                 "silent to this VM alone",
@@ -78,21 +78,21 @@
             ),
             (
                 "its data centre is lost",
-                _CALM._replace(
+                _HEALTHY._replace(
                     centre_lost_s=CENTRE_LOST_S, latest_silent_s=(0.4, 0.5)
                 ),
                 Reason.SILENT,
             ),
             (
                 "its data centre is lost to this VM alone",
-                _CALM._replace(
+                _HEALTHY._replace(
                     centre_lost_s=CENTRE_LOST_S, latest_silent_s=(0.4, 0.1)
                 ),
                 None,
             ),
             (
                 "this VM's data centre is cut off",
-                _CALM._replace(
+                _HEALTHY._replace(
                     centre_lost_s=CENTRE_LOST_S, hears_half_lately=False
                 ),
                 None,
@@ -104,12 +104,12 @@
             ),
             (
                 "commits reach no replica",
-                _CALM._replace(stalled_s=STALLED_S),
+                _HEALTHY._replace(stalled_s=STALLED_S),
                 Reason.STALLED,
             ),
             (
                 "writes wait at every VM that has some",
-                _CALM._replace(stuck_s=STALLED_S),
+                _HEALTHY._replace(stuck_s=STALLED_S),
                 Reason.STALLED,
             ),
             (
@@ -119,19 +119,19 @@
             ),
             (
                 "no primary",
-                _CALM._replace(leader=None, leaderless_s=1.0),
+                _HEALTHY._replace(leader=None, leaderless_s=1.0),
                 Reason.NONE_LEADS,
             ),
             (
                 "no primary, and no heartbeats arrive",
-                _CALM._replace(
+                _HEALTHY._replace(
                     leader=None, leaderless_s=1.0, hears_half=False
                 ),
                 None,
             ),
             (
                 "the registry has dropped the primary",
-                _CALM._replace(
+                _HEALTHY._replace(
                     leader=None,
                     leaderless_s=1.0,
                     hears_half=False,
@@ -141,12 +141,12 @@
             ),
             (
                 "no primary for a moment",
-                _CALM._replace(leader=None, leaderless_s=0.2),
+                _HEALTHY._replace(leader=None, leaderless_s=0.2),
                 None,
             ),
             (
                 "a replica was left paused",
-                _CALM._replace(paused_s=1.5),
+                _HEALTHY._replace(paused_s=1.5),
                 Reason.LEFT_PAUSED,
             ),
         )
--- a/redwingpost/takeover/triggers.py
+++ b/redwingpost/takeover/triggers.py
@@ -36,7 +36,8 @@
 #: milliseconds, however long they take to apply it.
 STALLED_S = 1.2
 
-#: Seconds without a primary among the members that answer.
+#: Seconds without a primary among the members that answer, after which one
+#: of them is promoted.
 NO_PRIMARY_S = 0.8
 
 #: Seconds by which each further VM delays its takeover after the one before
