--- a/redwingpost/agent/exchange.py
+++ b/redwingpost/agent/exchange.py
@@ -37,7 +37,7 @@
 from redwingpost.membership.beats import Beat, BeatSource
 from redwingpost.membership.dissemination import (
     BeatCursors,
-    NewsOrigin,
+    ChangeOrigin,
     select_recipients,
 )
 
@@ -318,28 +318,28 @@
         if digest.confirmed_ms != MAX_AGE_MS:
             clock.note_relayed(began_at - from_age_ms(digest.confirmed_ms))
 
-    def origin_of(self, vm: str) -> NewsOrigin:
+    def origin_of(self, vm: str) -> ChangeOrigin:
         """Return the origin of news that was received from a VM."""
         member = self._state.members.by_vm.get(vm)
         if member is None:
-            return NewsOrigin.LOCAL
+            return ChangeOrigin.LOCAL
         same = member.beat.data_centre == self._state.data_centre
         return (
-            NewsOrigin.OWN_DATA_CENTRE
+            ChangeOrigin.OWN_DATA_CENTRE
             if same
-            else NewsOrigin.OTHER_DATA_CENTRE
+            else ChangeOrigin.OTHER_DATA_CENTRE
         )
 
     def announce(self, views: Iterable[GroupView]) -> None:
         """Merge views of groups and disseminate those that are new."""
         if self._state.observe_views(views):
-            self.spread(NewsOrigin.LOCAL)
+            self.spread(ChangeOrigin.LOCAL)
 
-    def spread(self, origin: NewsOrigin, source: str = "") -> None:
+    def spread(self, origin: ChangeOrigin, source: str = "") -> None:
         """Start disseminating news to the recipients for its origin."""
         self._context.spawn(self._spread(origin, source))
 
-    async def _spread(self, origin: NewsOrigin, source: str) -> None:
+    async def _spread(self, origin: ChangeOrigin, source: str) -> None:
         contacted: set[str] = set()
         while True:
             recipients = select_recipients(
--- a/redwingpost/agent/fleet.py
+++ b/redwingpost/agent/fleet.py
@@ -11,7 +11,7 @@
 from redwingpost.agent.exchange import Exchanger
 from redwingpost.agent.interfaces import FleetServer, LocalServer
 from redwingpost.agent.store_watch import StoreWatch
-from redwingpost.membership.dissemination import NewsOrigin
+from redwingpost.membership.dissemination import ChangeOrigin
 from redwingpost.membership.relays import relay_of
 from redwingpost.membership.suspicion import BeatSchedule, mark_silent_members
 
@@ -192,4 +192,4 @@
             logger.warning("{} sent no heartbeat and is marked gone", beat.vm)
             self._state.mark_gone(beat)
         if gone:
-            self.exchanger.spread(NewsOrigin.LOCAL)
+            self.exchanger.spread(ChangeOrigin.LOCAL)
--- a/redwingpost/agent/interfaces.py
+++ b/redwingpost/agent/interfaces.py
@@ -17,7 +17,7 @@
 from redwingpost.agent.context import AgentContext
 from redwingpost.agent.exchange import Exchanger
 from redwingpost.configuration.state import OfferResult
-from redwingpost.membership.dissemination import NewsOrigin
+from redwingpost.membership.dissemination import ChangeOrigin
 from redwingpost.wire.schema import SCHEMA
 
 #: Longest wait of the feed (seconds), even if the proxy requests a longer
@@ -99,13 +99,13 @@
         if vm != self._state.vm:
             raise ValueError(f"this is {self._state.vm}, not {vm}")
         self._state.drain()
-        self._exchanger.spread(NewsOrigin.LOCAL)
+        self._exchanger.spread(ChangeOrigin.LOCAL)
 
     def _spread(self, _context: Any) -> None:
         # The caller isn't known at this level. News of local origin is
         # sent to everyone; VMs that already have it answer with equal
         # digests.
-        self._exchanger.spread(NewsOrigin.LOCAL)
+        self._exchanger.spread(ChangeOrigin.LOCAL)
 
 
 class LocalServer(SCHEMA.Local.Server):
--- a/redwingpost/agent/store_watch.py
+++ b/redwingpost/agent/store_watch.py
@@ -17,7 +17,7 @@
 from redwingpost.configuration.state import OfferResult
 from redwingpost.core import Code
 from redwingpost.leases.keeper import LeaseKeeper, LeaseStep
-from redwingpost.membership.dissemination import NewsOrigin
+from redwingpost.membership.dissemination import ChangeOrigin
 from redwingpost.membership.relays import RelayRole, relay_of
 from redwingpost.membership.relays import RELAY_LEASE_S
 
@@ -54,7 +54,7 @@
             self._state.incarnation,
             RELAY_LEASE_S,
         )
-        self.store_away = False
+        self.store_unavailable = False
         self._held_before = False
         self._head_version = -1
         self._polled_head_at = float("-inf")
@@ -81,7 +81,7 @@
     async def start(self) -> None:
         """Read the list and newest version before the first heartbeat."""
         await self._poll_list()
-        if not self.store_away:
+        if not self.store_unavailable:
             await self._poll_head()
 
     async def release_lease(self) -> None:
@@ -106,13 +106,15 @@
 
     def _role(self, relay: str) -> RelayRole:
         held = self._lease.is_held(self._context.clock.now())
-        self._held_before = held or (self._held_before and self.store_away)
+        self._held_before = held or (
+            self._held_before and self.store_unavailable
+        )
         return RelayRole(
             vm=self._state.vm,
             data_centre=self._state.data_centre,
             holds_lease=held,
             held_lease_before=self._held_before,
-            store_away=self.store_away,
+            store_unavailable=self.store_unavailable,
             draining=self._state.stopping,
             unreached_s=self._exchanger.unreached_s(relay),
         )
@@ -125,7 +127,7 @@
         logger.info(
             "agent is relay of {}: {}", self._state.data_centre, is_relay
         )
-        self._exchanger.spread(NewsOrigin.LOCAL)
+        self._exchanger.spread(ChangeOrigin.LOCAL)
 
     async def _keep_lease(self) -> None:
         now = self._context.clock.now()
@@ -139,7 +141,7 @@
         row = await self._context.tables.read(
             "relays", self._state.data_centre
         )
-        self.store_away = row.is_error()
+        self.store_unavailable = row.is_error()
         if row.is_ok():
             self._lease.observe(row.ok, self._context.clock.now())
 
@@ -147,7 +149,7 @@
         conditions, writes = self._lease.claim(self._context.clock.now())
         sent = await self._context.tables.transact(conditions, writes)
         now = self._context.clock.now()
-        self.store_away = sent.is_error()
+        self.store_unavailable = sent.is_error()
         if sent.is_error():
             self._lease.outcome_unknown()
         elif sent.ok.committed:
@@ -163,7 +165,7 @@
             return
         self._polled_head_at = now
         row = await self._log.head_row()
-        self.store_away = row.is_error()
+        self.store_unavailable = row.is_error()
         if row.is_error():
             return
         version = int(row.ok.value["version"]) if row.ok else 0
@@ -178,7 +180,7 @@
             return
         offer = self._state.offer(copy.ok)
         if offer is OfferResult.TAKEN:
-            self._exchanger.spread(NewsOrigin.LOCAL)
+            self._exchanger.spread(ChangeOrigin.LOCAL)
         elif offer is OfferResult.BROKEN:
             logger.error("version {} is invalid", copy.ok.version)
 
@@ -201,7 +203,10 @@
             return
         if self._unrecorded_since is None:
             self._unrecorded_since = now
-        if self.store_away or now - self._unrecorded_since < RECORD_AFTER_S:
+        if (
+            self.store_unavailable
+            or now - self._unrecorded_since < RECORD_AFTER_S
+        ):
             return
         self._unrecorded_since = now
         change = Change(
--- a/redwingpost/groups/confirmation.py
+++ b/redwingpost/groups/confirmation.py
@@ -10,8 +10,9 @@
 
 No order of the conducting VM's requests prevents this, but the primary's
 acknowledgement still has to pass through a VM. While a takeover may be in
-progress, that VM asks the replicas after the primary has answered. A replica
-that has not restarted recently is then still paused, or is the new primary.
+progress, that VM requests the replicas' reports after the primary has
+answered. A replica that has not restarted recently is then still paused, or is
+the new primary.
 """
 
 from collections.abc import Iterable
--- a/redwingpost/groups/directory.py
+++ b/redwingpost/groups/directory.py
@@ -1,4 +1,4 @@
-"""The members known from the registry, with a grace period after outages.
+"""The members that the registry lists, with a grace period after outages.
 
 The registry drops a member that has been silent for three heartbeats,
 sometimes only because the registry itself was unavailable. If its list were
@@ -27,8 +27,8 @@
 STALE_LIST_S = 1.0
 
 #: Seconds for which a removed member is remembered, so that a takeover can
-#: still ask it before it goes on without it. Its log may hold an acknowledged
-#: commit while only its registration has lapsed.
+#: still request its report before it goes on without it. Its log may hold an
+#: acknowledged commit while only its registration has lapsed.
 REMOVED_RETENTION_S = 30.0
 
 
@@ -85,10 +85,12 @@
         self._outage_at = float("-inf")
 
     def put(self, entry: MemberEntry, now: float) -> None:
-        """Add a member's entry, or replace the one known."""
-        known = self._listed_by_member.get(entry.member)
-        since = self._draining_since(known, now) if entry.is_draining else None
-        restarted_at = self._restarted_at(known, entry, now)
+        """Add a member's entry, or replace its earlier one."""
+        previous = self._listed_by_member.get(entry.member)
+        since = (
+            self._draining_since(previous, now) if entry.is_draining else None
+        )
+        restarted_at = self._restarted_at(previous, entry, now)
         listed = ListedMember(entry, since, restarted_at)
         self._listed_by_member[entry.member] = listed
         self._drop_at_by_member.pop(entry.member, None)
@@ -167,7 +169,7 @@
     def announced_s(self, member: str) -> float | None:
         """Return how long before its removal a member announced its end.
 
-        None if it didn't, or if this VM doesn't know the member.
+        None if it didn't, or if the member isn't among the removed ones.
         """
         removed = self._removed_by_member.get(member)
         if removed is None or removed.listed.draining_since is None:
@@ -181,26 +183,28 @@
         )
 
     def _restarted_at(
-        self, known: ListedMember | None, entry: MemberEntry, now: float
+        self, previous: ListedMember | None, entry: MemberEntry, now: float
     ) -> float:
         """Return when a member was first seen after a restart (seconds)."""
         removed = self._removed_by_member.get(entry.member)
-        if known is None and removed is not None:
-            known = removed.listed
+        if previous is None and removed is not None:
+            previous = removed.listed
             if not entry.started_ms:
                 # It may have restarted while it was not listed.
                 return now
-        if known is None:
+        if previous is None:
             return float("-inf")
-        if known.entry.started_ms != entry.started_ms:
+        if previous.entry.started_ms != entry.started_ms:
             return now
-        return known.restarted_at
+        return previous.restarted_at
 
-    def _draining_since(self, known: ListedMember | None, now: float) -> float:
+    def _draining_since(
+        self, previous: ListedMember | None, now: float
+    ) -> float:
         """Return when a draining member announced its end (seconds)."""
-        if known is not None and known.draining_since is not None:
-            return known.draining_since
-        if known is None or now < self._outage_at + STALE_LIST_S:
+        if previous is not None and previous.draining_since is not None:
+            return previous.draining_since
+        if previous is None or now < self._outage_at + STALE_LIST_S:
             return float("-inf")
         return now
 
--- a/redwingpost/groups/evidence.py
+++ b/redwingpost/groups/evidence.py
@@ -7,11 +7,11 @@
 
 The proof rests on the order of steps in a takeover. Before a promotion takes
 effect, every replica but the chosen one is paused for the new term
-(``redwingpost.takeover.plan``). So a replica that is asked *after* a read
-arrived, and is neither paused for a newer term nor in one, shows that no
-promotion was in effect when the read arrived: the primary of that moment held
-every acknowledged commit. One such report serves all reads that wait for it,
-and needs neither the platform's store nor a clock.
+(``redwingpost.takeover.plan``). So if a replica's report is requested *after*
+a read arrived, and the replica is neither paused for a newer term nor in one,
+no promotion was in effect when the read arrived: the primary of that moment
+held every acknowledged commit. One such report serves all reads that wait for
+it, and needs neither the platform's store nor a clock.
 
 The same reports give *samples*: a position that the primary's log had reached
 at a moment when it was proven to lead covers every commit acknowledged before
@@ -45,7 +45,7 @@
     """A member's report and when it was requested (seconds)."""
 
     report: StatusReport
-    asked_at: float
+    requested_at: float
 
 
 def accepts_commits(report: StatusReport, term: int) -> bool:
@@ -66,9 +66,9 @@
     >>> head = Position(3, 9)
     >>> primary = StatusReport(True, 3, head, 0, 0, 0, 1)
     >>> replica = StatusReport(False, 3, head, 0, 5, 0, 1)
-    >>> evidence.note_report("a", primary, asked_at=1.0)
-    >>> evidence.note_report("b", replica, asked_at=1.0)
-    >>> evidence.derive_proof(asked_at=1.0)
+    >>> evidence.note_report("a", primary, requested_at=1.0)
+    >>> evidence.note_report("b", replica, requested_at=1.0)
+    >>> evidence.derive_proof(requested_at=1.0)
     >>> evidence.leader, evidence.proven_at
     ('a', 1.0)
     """
@@ -79,8 +79,8 @@
         self.leader: str | None = None
         self.term = 0
         self.proven_at = float("-inf")
-        self._prefix_term = 0
-        self._prefix = ZERO_POSITION
+        self._start_term = 0
+        self._start_position = ZERO_POSITION
         self._acknowledged = ZERO_POSITION
 
     @property
@@ -90,31 +90,31 @@
         It covers the log with which the present primary began to lead, if
         that was seen, and the newest commit that this VM has acknowledged.
         """
-        if self._prefix_term != self.term:
+        if self._start_term != self.term:
             return self._acknowledged
-        return max(self._prefix, self._acknowledged)
+        return max(self._start_position, self._acknowledged)
 
     def holds(self, position: Position) -> bool:
         """Return whether the present primary began with a commit in its log.
 
-        False if that isn't known.
+        False if this VM has no report that shows it.
         """
-        prefix = self._prefix
+        start = self._start_position
         return (
-            self._prefix_term == self.term
-            and prefix.term == position.term < self.term
-            and prefix >= position
+            self._start_term == self.term
+            and start.term == position.term < self.term
+            and start >= position
         )
 
     def note_report(
-        self, member: str, report: StatusReport, asked_at: float
+        self, member: str, report: StatusReport, requested_at: float
     ) -> None:
-        """Add a member's report, unless a later one is known."""
-        known = self._report_by_member.get(member)
-        if known is not None and known.asked_at > asked_at:
+        """Add a member's report, unless it has a later one already."""
+        last = self._report_by_member.get(member)
+        if last is not None and last.requested_at > requested_at:
             return
-        self._report_by_member[member] = TimedReport(report, asked_at)
-        self._note_prefix(report)
+        self._report_by_member[member] = TimedReport(report, requested_at)
+        self._note_start(report)
         self._update_leader()
 
     def forget(self, member: str) -> None:
@@ -139,9 +139,9 @@
         """Return whether a report proves that the primary still led."""
         return self.leader is not None and accepts_commits(report, self.term)
 
-    def note_proof(self, asked_at: float) -> None:
-        """Record that the primary still led at ``asked_at``."""
-        self.proven_at = max(self.proven_at, asked_at)
+    def note_proof(self, requested_at: float) -> None:
+        """Record that the primary still led at ``requested_at``."""
+        self.proven_at = max(self.proven_at, requested_at)
 
     def note_commit(
         self, member: str, position: Position | None, sent_at: float
@@ -172,12 +172,14 @@
         """Return the youngest sample."""
         return max(self._samples, default=None)
 
-    def derive_proof(self, asked_at: float, provers: frozenset | None = None):
+    def derive_proof(
+        self, requested_at: float, provers: frozenset | None = None
+    ):
         """Derive a proof and a sample from the reports of one round.
 
         Parameters
         ----------
-        asked_at : float
+        requested_at : float
             When the round of requests began (seconds).
         provers : frozenset of str, optional
             Members whose reports count as proof; all if None.
@@ -187,7 +189,7 @@
         fresh_by_member = {
             member: last.report
             for member, last in self._report_by_member.items()
-            if last.asked_at >= asked_at
+            if last.requested_at >= requested_at
         }
         proven = any(
             self.is_proof(report)
@@ -196,10 +198,10 @@
         )
         if not proven:
             return
-        self.note_proof(asked_at)
+        self.note_proof(requested_at)
         if self.leader in fresh_by_member:
             position = fresh_by_member[self.leader].received
-            self._add_sample(Sample(asked_at, position))
+            self._add_sample(Sample(requested_at, position))
 
     def sample_since(self, taken_at: float) -> Sample | None:
         """Return the oldest sample taken at ``taken_at`` or later.
@@ -217,7 +219,7 @@
         ):
             self._samples.append(sample)
 
-    def _note_prefix(self, report: StatusReport) -> None:
+    def _note_start(self, report: StatusReport) -> None:
         """Record the log with which a primary began, before it commits.
 
         Its first commit has a higher term than all before it. If a primary
@@ -225,13 +227,13 @@
         began is unknown; a log certainly holds that only if it has one of
         these commits.
         """
-        if not report.is_primary or report.term < self._prefix_term:
+        if not report.is_primary or report.term < self._start_term:
             return
         if report.received.term < report.term:
-            self._prefix = report.received
-        elif report.term > self._prefix_term:
-            self._prefix = Position(report.term, 0)
-        self._prefix_term = report.term
+            self._start_position = report.received
+        elif report.term > self._start_term:
+            self._start_position = Position(report.term, 0)
+        self._start_term = report.term
 
     def _update_leader(self) -> None:
         reports = [
--- a/redwingpost/groups/questions.py
+++ b/redwingpost/groups/questions.py
@@ -51,13 +51,13 @@
     waiting_s: float
 
 
-def alert_interval_s(place: int) -> float:
+def alert_interval_s(rank: int) -> float:
     """Return the interval of probes to a suspect group (seconds).
 
     Parameters
     ----------
-    place : int
-        This VM's place in the order of VMs that probe, from 0.
+    rank : int
+        This VM's rank in the order of VMs that probe, from 0.
 
     Examples
     --------
@@ -65,7 +65,7 @@
     (0.25, 3.0)
     """
     return (
-        ALERT_INTERVAL_S if place < ALERT_PROBERS else ALERT_OTHERS_INTERVAL_S
+        ALERT_INTERVAL_S if rank < ALERT_PROBERS else ALERT_OTHERS_INTERVAL_S
     )
 
 
@@ -95,15 +95,15 @@
     return silence.probed_s >= PROBE_INTERVAL_S
 
 
-def is_primary_probe_due(silence: MemberSilence, place: int) -> bool:
+def is_primary_probe_due(silence: MemberSilence, rank: int) -> bool:
     """Return whether this VM must probe an idle group's primary.
 
     Parameters
     ----------
     silence : MemberSilence
         How long the primary has been silent.
-    place : int
-        This VM's place in the order of VMs that probe, from 0.
+    rank : int
+        This VM's rank in the order of VMs that probe, from 0.
 
     Examples
     --------
@@ -112,4 +112,4 @@
     (True, False)
     """
     silence_s = min(silence.answered_s, silence.probed_s, silence.elsewhere_s)
-    return silence_s >= IDLE_PROBE_S + IDLE_PROBE_STEP_S * place
+    return silence_s >= IDLE_PROBE_S + IDLE_PROBE_STEP_S * rank
--- a/redwingpost/groups/tests/test_confirmation.py
+++ b/redwingpost/groups/tests/test_confirmation.py
@@ -20,35 +20,35 @@
 _FOLLOWS = StatusReport(False, _TERM, Position(_TERM, 9), 0, 0, 0, 1)
 _PAUSED = _FOLLOWS._replace(paused_for=_TERM + 1)
 _LEADS_NEXT = _FOLLOWS._replace(is_primary=True, term=_TERM + 1)
-_CALM = TakeoverSigns(False, 0.0, False, 60.0)
+_HEALTHY = TakeoverSigns(False, 0.0, False, 60.0)
 
 
 class SignsTest(TestCase):
     def test_signs_that_a_takeover_may_be_under_way(self) -> None:
         cases = (
-            ("calm", _CALM, False, False),
+            ("healthy", _HEALTHY, False, False),
             (
                 "a replica restarted",
-                _CALM._replace(has_fresh_replica=True),
+                _HEALTHY._replace(has_fresh_replica=True),
                 True,
                 False,
             ),
             (
                 "the primary fails to another VM",
-                _CALM._replace(fails_elsewhere_s=FAILS_ELSEWHERE_S),
+                _HEALTHY._replace(fails_elsewhere_s=FAILS_ELSEWHERE_S),
                 True,
                 False,
             ),
             (
                 "the primary is draining",
-                _CALM._replace(is_suspect=True),
+                _HEALTHY._replace(is_suspect=True),
                 False,
                 True,
             ),
-            ("cut off", _CALM._replace(heard_half_s=0.0), True, True),
+            ("cut off", _HEALTHY._replace(heard_half_s=0.0), True, True),
             (
-                "cut off until a moment ago",
-                _CALM._replace(heard_half_s=SETTLED_S / 2),
+                "cut off until recently",
+                _HEALTHY._replace(heard_half_s=SETTLED_S / 2),
                 False,
                 True,
             ),
--- a/redwingpost/groups/tests/test_evidence.py
+++ b/redwingpost/groups/tests/test_evidence.py
@@ -91,7 +91,7 @@
         began_with = began_with._replace(received=Position(3, 30))
         committed = _report(True, 4, 31)
         cases = (
-            ("nothing known", [], ZERO_POSITION),
+            ("no report", [], ZERO_POSITION),
             ("seen as it began", [began_with], Position(3, 30)),
             ("seen later as well", [began_with, committed], Position(3, 30)),
             ("seen later only", [committed], Position(4, 0)),
@@ -99,8 +99,8 @@
         for name, reports, expected in cases:
             with self.subTest(name):
                 evidence = GroupEvidence()
-                for asked_at, report in enumerate(reports, 1):
-                    evidence.note_report("q", report, float(asked_at))
+                for requested_at, report in enumerate(reports, 1):
+                    evidence.note_report("q", report, float(requested_at))
                 self.assertEqual(expected, evidence.floor)
 
     def test_a_successor_must_hold_what_was_acknowledged_here(self) -> None:
--- a/redwingpost/groups/tests/test_questions.py
+++ b/redwingpost/groups/tests/test_questions.py
@@ -54,12 +54,10 @@
             ),
             ("the first didn't", late, late, 1, True),
         )
-        for name, answered_s, elsewhere_s, place, expected in cases:
+        for name, answered_s, elsewhere_s, rank, expected in cases:
             with self.subTest(name):
                 silence = MemberSilence(answered_s, _NEVER, elsewhere_s, 0.0)
-                self.assertEqual(
-                    expected, is_primary_probe_due(silence, place)
-                )
+                self.assertEqual(expected, is_primary_probe_due(silence, rank))
 
     def test_how_many_probe_a_suspect_group(self) -> None:
         """Guards against members that answer nothing but probes.
@@ -71,7 +69,7 @@
         for vms, max_per_s in ((7, 28.0), (62, 50.0), (200, 100.0)):
             with self.subTest(vms=vms):
                 probes_per_s = sum(
-                    1.0 / alert_interval_s(place) for place in range(vms)
+                    1.0 / alert_interval_s(rank) for rank in range(vms)
                 )
                 self.assertLessEqual(probes_per_s, max_per_s)
                 self.assertGreaterEqual(probes_per_s, 28.0)
--- a/redwingpost/membership/beats.py
+++ b/redwingpost/membership/beats.py
@@ -20,7 +20,8 @@
 
     ``gone`` is the only field that other VMs set: the relay of the VM's
     data centre receives no heartbeats from it any more. A heartbeat of
-    the VM with a higher sequence overrides it. ``config_version`` is the
+    the VM with a higher sequence overrides it. ``relay`` says whether the
+    VM acts as the relay of its data centre. ``config_version`` is the
     version that the agent holds, ``proxy_version`` the one in force at
     the VM's proxy.
     """
--- a/redwingpost/membership/centres.py
+++ b/redwingpost/membership/centres.py
@@ -41,6 +41,8 @@
 
 
 class _Centre(NamedTuple):
+    """Time since the last answer (seconds), and overdue members."""
+
     silent_s: float
     overdue: int
 
@@ -74,18 +76,18 @@
             members_by_centre.setdefault(member.data_centre, []).append(member)
         self._centre_by_name = {
             name: _Centre(
-                min(member.answered_s for member in found),
-                sum(member.awaited_s >= OVERDUE_AFTER_S for member in found),
+                min(member.answered_s for member in health),
+                sum(member.awaited_s >= OVERDUE_AFTER_S for member in health),
             )
-            for name, found in members_by_centre.items()
+            for name, health in members_by_centre.items()
         }
 
     def is_suspect(self, centre: str) -> bool:
         """Return whether all members of a data centre should be probed."""
-        found = self._centre_by_name.get(centre)
-        if found is None or found.overdue == 0:
+        state = self._centre_by_name.get(centre)
+        if state is None or state.overdue == 0:
             return False
-        return found.silent_s >= OVERDUE_AFTER_S
+        return state.silent_s >= OVERDUE_AFTER_S
 
     def lost_s(self, centre: str) -> float:
         """Return for how long a data centre has been lost (seconds).
@@ -96,15 +98,15 @@
             Zero while a slow member or a pause of this VM may explain
             the silence.
         """
-        found = self._centre_by_name.get(centre)
-        if found is None or found.overdue < MIN_OVERDUE_MEMBERS:
+        state = self._centre_by_name.get(centre)
+        if state is None or state.overdue < MIN_OVERDUE_MEMBERS:
             return 0.0
         others_answer = any(
             other.silent_s <= ALIVE_WITHIN_S
             for name, other in self._centre_by_name.items()
             if name != centre
         )
-        return found.silent_s if others_answer else 0.0
+        return state.silent_s if others_answer else 0.0
 
     def cut_off_s(self) -> float:
         """Return for how long only the own data centre has answered.
@@ -116,13 +118,13 @@
             evidence that this VM is cut off.
         """
         others = [
-            found
-            for name, found in self._centre_by_name.items()
+            other
+            for name, other in self._centre_by_name.items()
             if name != self._own
         ]
         own = self._centre_by_name.get(self._own)
         if not others or own is None or own.silent_s > ALIVE_WITHIN_S:
             return 0.0
-        if sum(found.overdue for found in others) < MIN_OVERDUE_MEMBERS:
+        if sum(other.overdue for other in others) < MIN_OVERDUE_MEMBERS:
             return 0.0
-        return min(found.silent_s for found in others)
+        return min(other.silent_s for other in others)
--- a/redwingpost/membership/digests.py
+++ b/redwingpost/membership/digests.py
@@ -55,9 +55,9 @@
             self._fill_in(report, digest.vm) for report in digest.cells
         )
         digest = digest._replace(cells=cells)
-        known = self._received_by_vm.get(digest.vm)
-        if digest.is_brief and known is not None:
-            health = known.digest.health_by_primary
+        previous = self._received_by_vm.get(digest.vm)
+        if digest.is_brief and previous is not None:
+            health = previous.digest.health_by_primary
             digest = digest._replace(health_by_primary=health)
         self._received_by_vm[digest.vm] = _ReceivedDigest(digest, now)
         return digest
@@ -69,19 +69,19 @@
         gatherer is used instead. Another gatherer's set may lack most of
         the cell, if VMs have only just begun to report to it.
         """
-        known = self._sets_by_cell.setdefault(report.cell, {})
+        sets_by_number = self._sets_by_cell.setdefault(report.cell, {})
         last_by_cell = self._last_sets_by_gatherer.setdefault(gatherer, {})
         vms = report.vms
         if vms is None:
-            vms = known.get(report.vms_number)
+            vms = sets_by_number.get(report.vms_number)
         if vms is None:
-            latest = next(reversed(known.values()), frozenset())
+            latest = next(reversed(sets_by_number.values()), frozenset())
             return report._replace(vms=last_by_cell.get(report.cell, latest))
         # Put it last, so that the least recently used set is dropped first.
-        known.pop(report.vms_number, None)
-        known[report.vms_number] = vms
-        if len(known) > MAX_SETS_PER_CELL:
-            del known[next(iter(known))]
+        sets_by_number.pop(report.vms_number, None)
+        sets_by_number[report.vms_number] = vms
+        if len(sets_by_number) > MAX_SETS_PER_CELL:
+            del sets_by_number[next(iter(sets_by_number))]
         last_by_cell[report.cell] = vms
         return report._replace(vms=vms)
 
@@ -101,15 +101,17 @@
         merged: a VM that has just changed its gatherer is in the set of
         one of them only.
         """
-        found_by_cell: dict[str, list[CellReport]] = {}
+        reports_by_cell: dict[str, list[CellReport]] = {}
         for received in self._received_by_vm.values():
             passed_ms = int((now - received.received_at) * 1000)
             for report in received.digest.cells:
                 age_ms = report.age_ms + passed_ms
                 if age_ms <= within_s * 1000.0:
                     aged = report._replace(age_ms=age_ms)
-                    found_by_cell.setdefault(report.cell, []).append(aged)
-        return tuple(_merge_reports(found) for found in found_by_cell.values())
+                    reports_by_cell.setdefault(report.cell, []).append(aged)
+        return tuple(
+            _merge_reports(reports) for reports in reports_by_cell.values()
+        )
 
     def health_reports(
         self, now: float, within_s: float, is_fleet: bool
--- a/redwingpost/membership/dissemination.py
+++ b/redwingpost/membership/dissemination.py
@@ -1,7 +1,7 @@
 """Gossip: which VMs a change is sent to, and what an exchange carries.
 
-If each VM told each other one, 1,000 VMs would send a million messages
-for a change. Instead a change goes from its VM to the data centre's
+If each VM sent a change to each other VM, 1,000 VMs would send a million
+messages for it. Instead a change goes from its VM to the data centre's
 relay, from there to the relays of the other data centres and to the VMs
 of its own. Except for the relay's push to its own data centre, the number
 of messages that a VM sends is bounded whatever the size of the fleet. An
@@ -24,7 +24,7 @@
 MAX_ROUND_ROBIN = 4
 
 
-class NewsOrigin(Enum):
+class ChangeOrigin(Enum):
     """Where a change came from."""
 
     #: From this VM itself, the store, or an operator's call to this VM.
@@ -37,7 +37,7 @@
     table: MemberTable,
     vm: str,
     is_relay: bool,
-    origin: NewsOrigin,
+    origin: ChangeOrigin,
     source: str = "",
     avoid: frozenset[str] = frozenset(),
 ) -> tuple[str, ...]:
@@ -51,7 +51,7 @@
         This VM.
     is_relay : bool
         Whether this VM acts as its data centre's relay.
-    origin : NewsOrigin
+    origin : ChangeOrigin
         Where the change came from.
     source : str
         The VM that sent the change, which is left out.
@@ -75,11 +75,11 @@
     relay = relay_of(own, table.of_data_centre(own))
     has_no_relay = relay in ("", vm) or relay in avoid
     recipients: list[str] = []
-    if origin is NewsOrigin.OTHER_DATA_CENTRE:
+    if origin is ChangeOrigin.OTHER_DATA_CENTRE:
         recipients = neighbours
     elif is_relay or has_no_relay:
         recipients = neighbours + _relays_elsewhere(table, own, avoid)
-    elif origin is NewsOrigin.LOCAL:
+    elif origin is ChangeOrigin.LOCAL:
         recipients = [relay]
     return tuple(
         name
--- a/redwingpost/membership/heartbeat.py
+++ b/redwingpost/membership/heartbeat.py
@@ -113,7 +113,8 @@
     clock as the sender last received it. A brief heartbeat leaves the
     health of primaries out, because all are well. ``wants_usages``: the
     reader should send the sender the other VMs' usage. ``is_urgent``:
-    much was admitted recently, and the other VMs must know soon.
+    many operations were admitted recently, and the other VMs need the
+    counters soon.
     """
 
     vm: str
@@ -138,7 +139,7 @@
 
     ``vms`` are the numbers of the VMs whose heartbeats it received,
     ``age_ms`` how long ago. The set changes rarely and is most of a
-    digest: None stands for the set that was sent earlier with the same
+    digest: None means the set that was sent earlier with the same
     ``vms_number``. ``config_version`` is the newest version, in force at
     ``config_ip``; ``reached`` is the highest number of primaries that one
     of the VMs reaches.
--- a/redwingpost/membership/ranking.py
+++ b/redwingpost/membership/ranking.py
@@ -4,14 +4,14 @@
 from hashlib import blake2b
 
 
-def rank_vms(place: str, vms: Iterable[str]) -> tuple[str, ...]:
+def rank_vms(subject: str, vms: Iterable[str]) -> tuple[str, ...]:
     """Order VMs by rendezvous hash, the same on every VM.
 
     Parameters
     ----------
-    place : str
+    subject : str
         What they are ranked for, as a data centre; the order differs
-        from place to place.
+        by subject.
     vms : iterable of str
         Their names.
 
@@ -22,6 +22,6 @@
     """
 
     def weight(vm: str) -> bytes:
-        return blake2b(f"{place}|{vm}".encode(), digest_size=8).digest()
+        return blake2b(f"{subject}|{vm}".encode(), digest_size=8).digest()
 
     return tuple(sorted(vms, key=weight))
--- a/redwingpost/membership/relays.py
+++ b/redwingpost/membership/relays.py
@@ -66,15 +66,15 @@
     """One agent's state for its decisions about the relay role.
 
     ``unreached_s`` is how long the present relay has not answered this
-    agent, 0 while it does. ``store_away`` is true while the table service
-    does not answer.
+    agent, 0 while it does. ``store_unavailable`` is true while the table
+    service does not answer.
     """
 
     vm: str
     data_centre: str
     holds_lease: bool
     held_lease_before: bool
-    store_away: bool
+    store_unavailable: bool
     draining: bool
     unreached_s: float
 
@@ -96,7 +96,7 @@
         """Return whether to do the relay's work now."""
         if self.holds_lease:
             return True
-        if not self.store_away:
+        if not self.store_unavailable:
             return False
         if relay == self.vm or self.held_lease_before:
             return True
--- a/redwingpost/membership/report.py
+++ b/redwingpost/membership/report.py
@@ -43,8 +43,8 @@
     latest_by_vm: dict[str, Sighting] = {}
     for sighting in sightings:
         vm = sighting.beat.vm
-        known = latest_by_vm.get(vm)
-        if known is None or _sort_key(sighting) > _sort_key(known):
+        latest = latest_by_vm.get(vm)
+        if latest is None or _sort_key(sighting) > _sort_key(latest):
             latest_by_vm[vm] = sighting
     return latest_by_vm
 
--- a/redwingpost/membership/table.py
+++ b/redwingpost/membership/table.py
@@ -16,8 +16,8 @@
 
 #: Seconds after which a silent VM that the list no longer holds counts as
 #: gone: longer than the list may lag behind a VM that is new. Gone VMs are
-#: dropped after twice this time without a sign of life; by then every VM
-#: has received the news.
+#: dropped once they have been silent for twice this time; by then every VM
+#: has received the change.
 FORGET_AFTER_S = 60.0
 
 
@@ -105,17 +105,19 @@
         """
         if beat.vm == self._vm:
             return False
-        known = self._members_by_vm.get(beat.vm)
-        if known is None and beat.gone:
+        current = self._members_by_vm.get(beat.vm)
+        if current is None and beat.gone:
             return False
-        if known is None or beat.order > known.beat.order:
+        if current is None or beat.order > current.beat.order:
             alive = source is not BeatSource.LISTED and not beat.gone
-            before = known.last_seen_at if known else float("-inf")
+            before = current.last_seen_at if current else float("-inf")
             latest = max(before, seen_at) if alive else before
             return self._store(beat, latest)
-        if beat.order == known.beat.order and not beat.gone:
-            latest = max(known.last_seen_at, seen_at)
-            self._members_by_vm[beat.vm] = known._replace(last_seen_at=latest)
+        if beat.order == current.beat.order and not beat.gone:
+            latest = max(current.last_seen_at, seen_at)
+            self._members_by_vm[beat.vm] = current._replace(
+                last_seen_at=latest
+            )
         return False
 
     def refresh_data_centre(self, data_centre: str, seen_at: float) -> None:
@@ -156,8 +158,8 @@
                 )
                 self.merge(beat, float("-inf"), BeatSource.LISTED)
         for vm, member in tuple(self._members_by_vm.items()):
-            known = member._replace(listed=vm in self._listed)
-            self._members_by_vm[vm] = known
+            updated = member._replace(listed=vm in self._listed)
+            self._members_by_vm[vm] = updated
         self._mark_missing(now)
 
     def drop_gone_members(self, now: float) -> None:
@@ -186,19 +188,19 @@
                 self._store(gone, member.last_seen_at)
 
     def _store(self, beat: Beat, last_seen_at: float) -> bool:
-        known = self._members_by_vm.get(beat.vm)
+        current = self._members_by_vm.get(beat.vm)
         changed = (
-            known is None
-            or known.beat.propagated_fields != beat.propagated_fields
+            current is None
+            or current.beat.propagated_fields != beat.propagated_fields
         )
         if changed:
             self._revision += 1
-            before = _checksum(known.beat) if known else 0
+            before = _checksum(current.beat) if current else 0
             self._mark = (self._mark - before + _checksum(beat)) % 2**32
         self._members_by_vm[beat.vm] = Member(
             beat=beat,
             last_seen_at=last_seen_at,
-            revision=self._revision if changed else known.revision,
+            revision=self._revision if changed else current.revision,
             listed=beat.vm in self._listed,
         )
         return changed
--- a/redwingpost/membership/tests/test_dissemination.py
+++ b/redwingpost/membership/tests/test_dissemination.py
@@ -6,7 +6,7 @@
 from redwingpost.membership.beats import Beat, BeatSource
 from redwingpost.membership.dissemination import (
     BeatCursors,
-    NewsOrigin,
+    ChangeOrigin,
     select_recipients,
 )
 from redwingpost.membership.dissemination import MAX_CHANGES, MAX_ROUND_ROBIN
@@ -52,14 +52,14 @@
     """
     hops = {origin: 0}
     sent = Counter()
-    queue = deque([(origin, NewsOrigin.LOCAL, "")])
+    queue = deque([(origin, ChangeOrigin.LOCAL, "")])
     table = table_of("", beats)
     while queue:
-        vm, news_origin, source = queue.popleft()
+        vm, change_origin, source = queue.popleft()
         avoid, tried = frozenset(), set()
         while True:
             recipients = select_recipients(
-                table, vm, beats[vm].relay, news_origin, source, avoid
+                table, vm, beats[vm].relay, change_origin, source, avoid
             )
             untried = [name for name in recipients if name not in tried]
             if not untried:
@@ -73,9 +73,9 @@
                 hops[name] = hops[vm] + 1
                 same = beats[name].data_centre == beats[vm].data_centre
                 how = (
-                    NewsOrigin.OWN_DATA_CENTRE
+                    ChangeOrigin.OWN_DATA_CENTRE
                     if same
-                    else NewsOrigin.OTHER_DATA_CENTRE
+                    else ChangeOrigin.OTHER_DATA_CENTRE
                 )
                 queue.append((name, how, vm))
     return hops, sent
@@ -104,7 +104,7 @@
                     self.assertEqual(set(hops), set(beats) - set(dead))
 
     def test_messages_at_a_thousand_vms(self):
-        # If each VM told each other one, a change would cost a million
+        # If each VM sent it to each other, a change would cost a million
         # messages. Here a VM that isn't a relay sends at most one, a
         # relay as many as its data centre has VMs and the fleet has data
         # centres.
--- a/redwingpost/membership/tests/test_gathering.py
+++ b/redwingpost/membership/tests/test_gathering.py
@@ -91,9 +91,9 @@
 
     def test_a_vm_that_gets_reports_gathers(self) -> None:
         gathering = next(
-            found
+            candidate
             for n in range(0, 40, 2)
-            if not (found := _gathering(f"vm-{n}")).gathers(0.0)
+            if not (candidate := _gathering(f"vm-{n}")).gathers(0.0)
         )
         gathering.note_report("vm-38", 1.0)
         self.assertTrue(gathering.gathers(1.0 + REPORT_TIMEOUT_S))
@@ -106,9 +106,9 @@
         which may receive them.
         """
         gathering = next(
-            found
+            candidate
             for n in range(0, 40, 2)
-            if not (found := _gathering(f"vm-{n}")).gathers(0.0)
+            if not (candidate := _gathering(f"vm-{n}")).gathers(0.0)
         )
         now = 0.0
         while now < ISOLATED_AFTER_S:
@@ -161,5 +161,5 @@
                 report = CellReport("a/0", 0, None, number, 1, "ip", 2)
                 digest = self._digest("g", None, cells=(report,))
                 table.note(digest, now=1.2)
-                (found,) = table.cells(now=1.3, within_s=0.5)
-                self.assertEqual(expected, set(found.vms))
+                (merged,) = table.cells(now=1.3, within_s=0.5)
+                self.assertEqual(expected, set(merged.vms))
--- a/redwingpost/membership/tests/test_membership.py
+++ b/redwingpost/membership/tests/test_membership.py
@@ -190,13 +190,13 @@
             (third, 2.0, True, False, False),
             (relay, 0.0, True, True, True),
         ]
-        for vm, unreached_s, store_away, wants, is_active in table:
+        for vm, unreached_s, store_unavailable, wants, is_active in table:
             role = RelayRole(
                 vm=vm,
                 data_centre="lima-1",
                 holds_lease=False,
                 held_lease_before=False,
-                store_away=store_away,
+                store_unavailable=store_unavailable,
                 draining=False,
                 unreached_s=unreached_s,
             )
--- a/redwingpost/membership/tests/test_vm_table.py
+++ b/redwingpost/membership/tests/test_vm_table.py
@@ -64,7 +64,7 @@
     def test_each_vm_has_its_own_place(self) -> None:
         for subject in ("g1", "g2", "orders"):
             with self.subTest(subject):
-                places = []
+                ranks = []
                 for number in range(4):
                     table = VmTable(f"vm-{number}", now=0.0)
                     names = [f"vm-{other}" for other in range(4)]
@@ -73,8 +73,8 @@
                     )
                     for other in names:
                         table.note(_heartbeat(other), now=0.0)
-                    places.append(table.place(subject, now=0.1))
-                self.assertEqual([0, 1, 2, 3], sorted(places))
+                    ranks.append(table.rank(subject, now=0.1))
+                self.assertEqual([0, 1, 2, 3], sorted(ranks))
 
     def test_silent_vms_have_no_place_in_the_order(self) -> None:
         """A data centre with two of four VMs is cut off.
@@ -89,8 +89,8 @@
         for name in names[:3]:
             table.note(_heartbeat(name), now=0.0)
         table.note(_heartbeat("vm-2"), now=1.0)
-        before = {table.place(subject, 0.1) for subject in subjects}
-        after = {table.place(subject, 1.0) for subject in subjects}
+        before = {table.rank(subject, 0.1) for subject in subjects}
+        after = {table.rank(subject, 1.0) for subject in subjects}
         self.assertEqual({0, 1, 2, 3}, before)
         self.assertEqual({0, 1}, after)
 
--- a/redwingpost/membership/vm_table.py
+++ b/redwingpost/membership/vm_table.py
@@ -73,7 +73,7 @@
         self._started_at = now
         self._listed_by_vm: dict[str, VmAddress] = {}
         self._number_by_vm: dict[str, int] = {vm: self._number}
-        self._ordered: list[str] = [vm]
+        self._sorted_vms: list[str] = [vm]
         self._received_by_vm: dict[str, _ReceivedHeartbeat] = {}
         self._digests = DigestTable()
         self._seen_at_by_number: dict[int, float] = {}
@@ -87,8 +87,8 @@
     def set_listed(self, addresses: tuple[VmAddress, ...]) -> None:
         """Apply the list of VMs."""
         self._listed_by_vm = {address.vm: address for address in addresses}
-        self._ordered = sorted(self.known())
-        self._number_by_vm = {vm: vm_number(vm) for vm in self._ordered}
+        self._sorted_vms = sorted(self.known_vms())
+        self._number_by_vm = {vm: vm_number(vm) for vm in self._sorted_vms}
         self._has_list = True
         self._alive_cache.clear()
 
@@ -105,9 +105,9 @@
         """Store a heartbeat."""
         if heartbeat.vm == self._vm:
             return
-        known = self._received_by_vm.get(heartbeat.vm)
-        if heartbeat.is_brief and known is not None:
-            health = known.heartbeat.health_by_primary
+        previous = self._received_by_vm.get(heartbeat.vm)
+        if heartbeat.is_brief and previous is not None:
+            health = previous.heartbeat.health_by_primary
             heartbeat = heartbeat._replace(health_by_primary=health)
         self._received_by_vm[heartbeat.vm] = _ReceivedHeartbeat(heartbeat, now)
         self._alive_cache.clear()
@@ -202,9 +202,9 @@
         for report in self.cells(now, within_s):
             numbers |= report.vms
         numbers.discard(self._number)
-        found = frozenset(numbers)
-        self._alive_cache[within_s] = (now, found)
-        return found
+        alive = frozenset(numbers)
+        self._alive_cache[within_s] = (now, alive)
+        return alive
 
     def alive_addresses(
         self, now: float, within_s: float
@@ -223,7 +223,7 @@
         """Return whether a VM is alive."""
         return vm_number(vm) in self.alive_numbers(now)
 
-    def known(self) -> frozenset[str]:
+    def known_vms(self) -> frozenset[str]:
         """Return all VMs that may be serving, this one included."""
         return frozenset(self._listed_by_vm) | {self._vm}
 
@@ -303,10 +303,10 @@
             del self._received_by_vm[vm]
         return gone
 
-    def place(
+    def rank(
         self, subject: str, now: float, among: frozenset[str] | None = None
     ) -> int:
-        """Return this VM's place in the order in which VMs act on a subject.
+        """Return this VM's rank in the order in which VMs act on a subject.
 
         Without an order all VMs would act at once. The order differs by
         subject. VMs that aren't alive are left out: otherwise those of a
@@ -321,10 +321,10 @@
         among : frozenset of str, optional
             The VMs that act, besides this one; by default all.
         """
-        ordered = self._ordered
-        first = -sum(subject.encode()) % len(ordered)
-        in_turn = ordered[first:] + ordered[:first]
-        before = in_turn[: in_turn.index(self._vm)]
+        vms = self._sorted_vms
+        first = -sum(subject.encode()) % len(vms)
+        rotated = vms[first:] + vms[:first]
+        before = rotated[: rotated.index(self._vm)]
         if among is not None:
             before = [vm for vm in before if vm in among]
         alive = self.alive_numbers(now, RECENT_HEARTBEAT_S)
@@ -351,13 +351,13 @@
             of_fleet = self._digest_health(primary, now, within_s, True)
             if of_fleet:
                 return of_fleet
-        found = [
+        own_reports = [
             (now - received.received_at, MergedHealth.of_one(health))
             for received in self._received_by_vm.values()
             if now - received.received_at <= within_s
             and (health := received.heartbeat.health_by_primary.get(primary))
         ]
-        return found + self._digest_health(primary, now, within_s, False)
+        return own_reports + self._digest_health(primary, now, within_s, False)
 
     def _digest_health(
         self, primary: str, now: float, within_s: float, is_fleet: bool
@@ -371,7 +371,7 @@
         ]
 
     def _last_seen_at(self, vm: str) -> float:
-        """Return when a VM last gave a sign of life (seconds).
+        """Return when a VM was last known to be alive (seconds).
 
         Either by a heartbeat of its own or by a gatherer's report.
         """
--- a/redwingpost/node/fleet/vm_list.py
+++ b/redwingpost/node/fleet/vm_list.py
@@ -23,7 +23,7 @@
 #: Seconds between checks whether the list has been read.
 _LIST_POLL_S = 0.02
 
-#: Subject that ranks the VMs for removals (``VmTable.place``).
+#: Subject that ranks the VMs for removals (``VmTable.rank``).
 _REMOVAL = "tidy"
 
 #: Seconds between checks for VMs to remove.
@@ -142,7 +142,7 @@
             self._on_gone(vm)
         # A VM that gets heartbeats from few others may be cut off itself.
         # Of the others, one is enough: each removal is a call of the store.
-        if not self._vms.hears_half(now) or self._vms.place(_REMOVAL, now):
+        if not self._vms.hears_half(now) or self._vms.rank(_REMOVAL, now):
             return
         for vm in self._vms.silent_vms(now)[:1]:
             log_event("vm-taken-off", vm=vm)
--- a/redwingpost/node/forwarding/homes.py
+++ b/redwingpost/node/forwarding/homes.py
@@ -104,11 +104,11 @@
         homes = self.homes_of(group, now)
         return homes.is_all or self._vm in homes.names
 
-    def place(self, group: str, now: float) -> int:
-        """Return this VM's place in the order of a group's homes."""
+    def rank(self, group: str, now: float) -> int:
+        """Return this VM's rank in the order of a group's homes."""
         homes = self.homes_of(group, now)
         among = None if homes.is_all else homes.names
-        return self._vms.place(group, now, among)
+        return self._vms.rank(group, now, among)
 
     def sharers(self, group: str, now: float) -> int:
         """Return how many VMs share the connections of a group's members."""
@@ -163,7 +163,7 @@
             return ALL_VMS
         organisations = len(self._rules.organisations_by_name)
         wanted = count_homes(rule.max_connections, choice.slots, organisations)
-        if len(self._vms.known()) <= wanted:
+        if len(self._vms.known_vms()) <= wanted:
             return ALL_VMS
         homes = choose_homes(group, choice.data_centres, choice.alive, wanted)
         return Homes(homes, is_all=False)
--- a/redwingpost/node/group.py
+++ b/redwingpost/node/group.py
@@ -204,11 +204,11 @@
         """Return whether this VM probes the group's members itself."""
         return now - self._used_at < ACTIVE_AFTER_USE_S or self.is_home(now)
 
-    def place(self, now: float) -> int:
-        """Return this VM's place in the order of VMs that probe the group."""
+    def rank(self, now: float) -> int:
+        """Return this VM's rank in the order of VMs that probe the group."""
         if self._homes is None:
-            return self._vms.place(self.name, now)
-        return self._homes.place(self.name, now)
+            return self._vms.rank(self.name, now)
+        return self._homes.rank(self.name, now)
 
     # Rounds ------------------------------------------------------------
 
@@ -246,7 +246,7 @@
     def _round_interval_s(self, now: float) -> float:
         if self.evidence.term and not self.is_primary_suspect():
             return ROUND_INTERVAL_S
-        interval_s = alert_interval_s(self.place(now))
+        interval_s = alert_interval_s(self.rank(now))
         return (
             interval_s
             if self.evidence.term
@@ -268,7 +268,7 @@
             return may_probe(silence)
         if member != self.evidence.leader:
             return False
-        return is_primary_probe_due(silence, self.place(now))
+        return is_primary_probe_due(silence, self.rank(now))
 
     def note_shared(
         self, member: str, position: Position, taken_at: float
@@ -392,7 +392,7 @@
             for name in self.member_by_name
             if name != leader
             and (other := self.evidence.last_report(name)) is not None
-            and other.asked_at >= self.round_at
+            and other.requested_at >= self.round_at
         ]
         head = last.report.received
         now = self._clock.now()
--- a/redwingpost/node/takeover/keeper.py
+++ b/redwingpost/node/takeover/keeper.py
@@ -75,7 +75,7 @@
             self._due_by_group.pop(group.name, None)
             return
         if due is None or due[0] is not reason:
-            delay = group.place(now) * TAKEOVER_STAGGER_S
+            delay = group.rank(now) * TAKEOVER_STAGGER_S
             self._due_by_group[group.name] = (reason, now + delay)
             log_event("takeover-due", group=group.name, reason=reason.value)
         elif now >= due[1]:
--- a/redwingpost/node/takeover/rosters.py
+++ b/redwingpost/node/takeover/rosters.py
@@ -135,7 +135,7 @@
         # itself for the first in the order.
         if self._is_registry_lost() or not self._vms.hears_half(now):
             return
-        if self._vms.place(_SUBJECT, now) != 0:
+        if self._vms.rank(_SUBJECT, now) != 0:
             return
         if self._stored_by_group is None:
             self._stored_by_group = await self._read()
@@ -215,7 +215,7 @@
         asked_at = self._clock.now()
         await group.fresh_round()
         observed = group.evidence.last_report(group.evidence.leader or "")
-        if observed is None or observed.asked_at < asked_at:
+        if observed is None or observed.requested_at < asked_at:
             return None
         return observed.report.received
 
