--- a/redwingpost/promotion/acknowledgement.py
+++ b/redwingpost/promotion/acknowledgement.py
@@ -23,15 +23,15 @@
 
 from redwingpost.core import Position
 
-#: Each wait in flight occupies a connection, and connections are scarce.
-#: A second wait does not lower latency: with eight writers and 1.5 ms
-#: one way, p50 is 23.4 ms with one and 23.1 ms with two, at 0.75 and 1.18
-#: waits per write.
+#: Waits in flight to one replica, at most. Each occupies a connection, and
+#: connections are scarce. A second one hardly lowers latency: with eight
+#: writers and 1.5 ms one way, p50 is 23.4 ms with one and 23.1 ms with two,
+#: at 0.75 and 1.18 waits per write.
 MAX_OUTSTANDING_WAITS = 1
 
-#: After this time a write counts as unconfirmed. Much longer than the
+#: Seconds after which a write counts as unconfirmed. Much longer than the
 #: usual receive delay of a replica and shorter than a promotion, so that
-#: the new primary can still be asked for the record of a keyed write.
+#: the record of a keyed write can still be read at the new primary.
 CONFIRM_TIMEOUT_S = 1.0
 
 
@@ -115,6 +115,12 @@
 
 
 class _Waiting(NamedTuple):
+    """A write that waits, and the replicas that have confirmed it.
+
+    ``holders`` hold its position. ``term_confirmed_by`` confirmed the term
+    in a wait numbered ``first_wait_after_commit`` or higher.
+    """
+
     write: int
     position: Position
     expires_at: float
@@ -291,8 +297,8 @@
         # answered before a claim that preceded the commit.
         sent_after_commit = number >= waiting.first_wait_after_commit
         if sent_after_commit and proves_term(answer, self.term):
-            seen = waiting.term_confirmed_by | {answer.replica}
-            waiting = waiting._replace(term_confirmed_by=seen)
+            confirmed_by = waiting.term_confirmed_by | {answer.replica}
+            waiting = waiting._replace(term_confirmed_by=confirmed_by)
         return waiting
 
     def _expired_decision(self, waiting: _Waiting) -> Decision:
--- a/redwingpost/promotion/detection.py
+++ b/redwingpost/promotion/detection.py
@@ -23,43 +23,45 @@
 
 from redwingpost.core import Position
 
+#: Seconds between an observer's probes of a member.
 PROBE_INTERVAL_S = 0.15
 
-#: See the module's docstring.
+#: Seconds of silence after which a primary counts as lost; the module's
+#: docstring gives the reasons.
 SILENCE_S = 0.7
 
-#: After this much silence probes are also sent over a new connection,
+#: Seconds of silence after which probes are also sent over a new connection,
 #: which doesn't wait for the retransmission timer of the older one.
 FRESH_CONNECTION_S = 0.3
 
-#: A member that answered within this time counts as reachable.
+#: Seconds since its last answer for which a member counts as reachable.
 REACHABLE_S = 0.45
 
-#: If a replica still receives from the primary, the fault may be on the
-#: observers' links: wait longer. Not indefinitely, since callers reach the
-#: group over the same links.
+#: As ``SILENCE_S`` while a replica still receives from the primary: the
+#: fault may then be on the observers' links. The wait is longer, but not
+#: indefinite, since callers reach the group over the same links.
 REPLICA_CONTACT_SILENCE_S = 1.5
 
-#: How long a group may be without an active primary before the current
+#: Seconds that a group may be without an active primary before the current
 #: proposer is considered dead; a promotion takes about 0.2 s.
 LEADERLESS_S = 0.7
 
-#: A member that promised a term without a primary receives no more log
-#: entries.
+#: Seconds that a member may have promised a term without a primary before
+#: a promotion is needed: meanwhile it receives no log entries.
 STRANDED_S = 3.0
 
-#: How long replicas may receive nothing although the primary holds more.
+#: Seconds that replicas may receive nothing although the primary holds more.
 #: Replicas poll many times a second, so after two seconds only a network
 #: partition between them and the primary explains it.
 ISOLATED_S = 2.0
 
-#: Delay between proposers of consecutive ranks; a claim round including
+#: Seconds between proposers of consecutive ranks; a claim round including
 #: its grace period finishes within it.
 STAGGER_S = 0.4
 
 #: Observers in at least this many data centres must agree, or in all of
 #: them if fewer have observers.
-DATA_CENTRES = 2
+MIN_AGREEING_DATA_CENTRES = 2
 
 
 class SilenceMeter:
@@ -167,11 +169,14 @@
 def _agreed(
     silent: Iterable[Report], reports: Sequence[Report], data_centres: int
 ) -> bool:
+    """Return whether enough of the reports are among the silent ones."""
     silent_reports = list(silent)
     if 2 * len(silent_reports) <= len(reports):
         return False
     agreeing_data_centres = {report.data_centre for report in silent_reports}
-    return len(agreeing_data_centres) >= min(DATA_CENTRES, data_centres)
+    return len(agreeing_data_centres) >= min(
+        MIN_AGREEING_DATA_CENTRES, data_centres
+    )
 
 
 def diagnose_primary(
@@ -206,13 +211,13 @@
 
     Examples
     --------
-    >>> seen = (
+    >>> observations = (
     ...     MemberObservation("a", 0.9),
     ...     MemberObservation("b", 0.1),
     ...     MemberObservation("c", 0.1),
     ... )
-    >>> one = Report("vm-1", "dc-1", seen)
-    >>> two = Report("vm-2", "dc-2", seen)
+    >>> one = Report("vm-1", "dc-1", observations)
+    >>> two = Report("vm-2", "dc-2", observations)
     >>> diagnose_primary("a", ("a", "b", "c"), [one, two], 2).name
     'PRIMARY_LOST'
     >>> diagnose_primary("a", ("a", "b", "c"), [one], 2).name
@@ -235,9 +240,11 @@
 
 def has_leader(observations: Sequence[MemberObservation]) -> bool:
     """Return whether a reachable member leads the highest promised term."""
-    reachable = [seen for seen in observations if seen.silent_s < REACHABLE_S]
-    highest = max((seen.term for seen in reachable), default=0)
-    return any(seen.leads and seen.term == highest for seen in reachable)
+    reachable = [
+        state for state in observations if state.silent_s < REACHABLE_S
+    ]
+    highest = max((state.term for state in reachable), default=0)
+    return any(state.leads and state.term == highest for state in reachable)
 
 
 def diagnose_leadership(
@@ -266,7 +273,9 @@
         ``LEADERLESS`` if no member leads any term, ``STRANDED`` if a
         member leads but another one promised a higher term.
     """
-    reachable = [seen for seen in observations if seen.silent_s < REACHABLE_S]
+    reachable = [
+        state for state in observations if state.silent_s < REACHABLE_S
+    ]
     if len(reachable) <= len(members) // 2:
         return Diagnosis.MAJORITY_UNREACHABLE
     if has_leader(observations):
@@ -297,7 +306,7 @@
     if len(staying) <= len(members) // 2:
         return Diagnosis.HEALTHY
     reached = {
-        seen.member for seen in observations if seen.silent_s < REACHABLE_S
+        state.member for state in observations if state.silent_s < REACHABLE_S
     }
     if reached.issuperset(members):
         return Diagnosis.LEAVING
--- a/redwingpost/promotion/election.py
+++ b/redwingpost/promotion/election.py
@@ -17,20 +17,21 @@
 
 from redwingpost.core import ZERO_POSITION, Position
 
-#: How long to wait for the remaining claims after a majority accepted: a
+#: Seconds to wait for the remaining claims after a majority accepted: a
 #: more advanced third member keeps transactions that weren't acknowledged.
 #: Several round trips between data centres, of 1 to 3 ms each.
 GRACE_S = 0.1
 
-#: Without a majority within this time the promotion is aborted and tried
+#: Seconds after which a promotion without a majority is aborted and tried
 #: again with a higher term. Three retransmission timeouts of 200 ms.
 CLAIM_TIMEOUT_S = 0.6
 
-#: The candidate applies its relay log first, which takes long if it lags
-#: by minutes.
+#: Seconds to wait for the answer to a promotion: the candidate applies its
+#: relay log first, which takes long if it lags by minutes.
 PROMOTE_TIMEOUT_S = 10.0
 
-#: The second attempt follows soon, since the loser of a race sees the
+#: First and longest delay between attempts (seconds, before jitter). The
+#: second attempt follows soon, since the loser of a race sees the
 #: winner's term within a probe interval. Later ones back off to limit the
 #: load on the members.
 BACKOFF_BASE_S = 0.25
--- a/redwingpost/promotion/observers.py
+++ b/redwingpost/promotion/observers.py
@@ -17,8 +17,8 @@
 
 from redwingpost.core import VmAddress
 
-#: Of six observers a majority of four remains if a data centre with two
-#: of them is lost; more observers would only add probes.
+#: Observers of a group, at most. Of six, a majority of four remains if a
+#: data centre with two of them is lost; more would only add probes.
 OBSERVERS = 6
 
 
--- a/redwingpost/promotion/tests/test_detection.py
+++ b/redwingpost/promotion/tests/test_detection.py
@@ -45,12 +45,12 @@
         self.assertIs(diagnosis, Diagnosis.MAJORITY_UNREACHABLE)
 
     def test_table(self):
-        silent, heard = 0.8, 0.1
-        everyone = [report(n, silent) for n in range(6)]
-        majority = [report(n, silent) for n in range(4)]
-        majority += [report(n, heard) for n in range(4, 6)]
-        half = [report(n, silent) for n in range(3)]
-        half += [report(n, heard) for n in range(3, 6)]
+        lost_s, reachable_s = 0.8, 0.1
+        everyone = [report(n, lost_s) for n in range(6)]
+        majority = [report(n, lost_s) for n in range(4)]
+        majority += [report(n, reachable_s) for n in range(4, 6)]
+        half = [report(n, lost_s) for n in range(3)]
+        half += [report(n, reachable_s) for n in range(3, 6)]
         paused = [report(n, 0.3 + PROBE_INTERVAL_S) for n in range(6)]
         table = [
             ("all", everyone, Diagnosis.PRIMARY_LOST),
@@ -232,10 +232,10 @@
                 0.0,
             ),
         ]
-        for name, seen, expected in table:
+        for name, rounds, expected in table:
             with self.subTest(name):
                 meter = ReplicationMeter()
-                for second, (primary, replicas) in enumerate(seen):
+                for second, (primary, replicas) in enumerate(rounds):
                     meter.observe(primary, replicas, float(second))
                 self.assertEqual(meter.stalled_s(2.0), expected)
 
--- a/redwingpost/rates/demand.py
+++ b/redwingpost/rates/demand.py
@@ -93,7 +93,7 @@
 
     def __init__(self) -> None:
         self._rate = 0.0
-        self._at = float("-inf")
+        self._observed_at = float("-inf")
 
     def observe(self, tokens: int, now: float) -> None:
         """Add a request of ``tokens`` micro-tokens to the average."""
@@ -101,13 +101,13 @@
             self.per_second(now)
             + tokens / STATEMENT_MICROTOKENS / DEMAND_AVERAGE_S
         )
-        self._at = max(now, self._at)
+        self._observed_at = max(now, self._observed_at)
 
     def per_second(self, now: float) -> float:
         """Return the demand in statements a second."""
         if self._rate == 0.0:
             return 0.0
-        passed = max(0.0, now - self._at)
+        passed = max(0.0, now - self._observed_at)
         decayed = self._rate * exp(-passed / DEMAND_AVERAGE_S)
         if passed == 0.0:
             return decayed
--- a/redwingpost/rates/usage.py
+++ b/redwingpost/rates/usage.py
@@ -117,12 +117,12 @@
     def __init__(self, now: float) -> None:
         self.own = 0.0
         self.total = 0.0
-        self._at = now
+        self._decayed_at = now
 
     def decay(self, now: float) -> None:
         """Decay both counts to ``now``."""
-        kept = exp(-max(0.0, now - self._at) / DEMAND_AVERAGE_S)
-        self._at = now
+        kept = exp(-max(0.0, now - self._decayed_at) / DEMAND_AVERAGE_S)
+        self._decayed_at = now
         self.own *= kept
         self.total *= kept
 
--- a/redwingpost/rates/waiting.py
+++ b/redwingpost/rates/waiting.py
@@ -21,13 +21,13 @@
 
 #: Seconds that a request may wait for tokens that will be available. A
 #: burst of the organisation's total tokens takes several rounds of loans
-#: until the tokens are at the VM where the requests arrived; 0.1 s ended
-#: 37 of 5,030 requests of yuelan's burst, 0.4 s ended 27. Callers far
-#: over their rate are refused at once whatever the value, because no
-#: tokens become available for them.
+#: until the tokens are at the VM where the requests arrived: of 5,030
+#: requests of such a burst, 37 were refused with 0.1 s and 27 with 0.4 s.
+#: Callers far over their rate are refused at once whatever the value,
+#: because no tokens become available for them.
 WAIT_S = 0.4
 
-#: Retry delay in milliseconds for a caller whose request needs more
+#: Retry delay (milliseconds) for a caller whose request needs more
 #: tokens than the parts on this VM can hold.
 _UNKNOWN_RETRY_MS = 1000
 
