--- a/redwingpost/admission/breaker.py
+++ b/redwingpost/admission/breaker.py
@@ -6,7 +6,7 @@
 once: few statements are outstanding there, so it attracts more than its
 share.
 
-Without a breaker callers see the slow target's p99 for as long as it is
+Without a breaker callers get the slow target's p99 for as long as it is
 slow.
 
 The breaker opens after ``FAILURE_THRESHOLD`` failures in a row, or when
@@ -24,6 +24,8 @@
 
 from enum import Enum
 
+#: Numbers, factors and times (``_S``: seconds) that the module's docstring
+#: explains.
 FAILURE_THRESHOLD = 3
 MIN_SAMPLES = 5
 SLOW_FACTOR = 3.0
--- a/redwingpost/admission/connections.py
+++ b/redwingpost/admission/connections.py
@@ -5,8 +5,8 @@
 refuses some of them, and a VM whose control connection was refused can't
 order a promotion.
 
-Without it connections go to the VMs that open theirs first, and callers
-of the other VMs get error 1040.
+Without this division connections go to the VMs that open theirs first,
+and callers of the other VMs get error 1040.
 
 Each VM needs one connection for the agent's probe and
 ``PROXY_CONTROL_CONNECTIONS`` for the proxy's status polls and
--- a/redwingpost/admission/tests/test_full_target.py
+++ b/redwingpost/admission/tests/test_full_target.py
@@ -153,12 +153,12 @@
         jobs = merge(burst, evenly_spaced("b", 100, 2, deadline_s=2.0))
         responses = TargetSimulation(make_controllers(1)).run(jobs)
         self.assertEqual(len(in_time(responses)), len(jobs))
-        quiet = [
+        other_responses = [
             response
             for response in responses
             if response.job.organisation == "b"
         ]
-        self.assertLess(percentile(quiet, 0.99), 0.1)
+        self.assertLess(percentile(other_responses, 0.99), 0.1)
 
 
 class LongJobsTest(TestCase):
--- a/redwingpost/configuration/diff.py
+++ b/redwingpost/configuration/diff.py
@@ -7,8 +7,8 @@
 from json import dumps, loads
 from typing import Any
 
-#: Limits the audit record to the size of a table row. The bodies of both
-#: versions hold the whole of a larger change.
+#: Lines at most, so that the audit record fits into a table row. The bodies
+#: of both versions hold the whole of a larger change.
 MAX_LINES = 50
 
 
--- a/redwingpost/configuration/keys.py
+++ b/redwingpost/configuration/keys.py
@@ -5,9 +5,9 @@
 it keeps its connection.
 
 Withdrawals only accumulate: each set that arrives, from the
-configuration, a peer or an operator, is merged into the known set, so
-that neither an old version nor a late message makes a withdrawn key valid
-again.
+configuration, a peer or an operator, is merged into those received
+before, so that neither an old version nor a late message makes a
+withdrawn key valid again.
 
 A VM that is partitioned from all others doesn't receive withdrawals. It
 accepts keys for ``confirmation_s`` after the last confirmation, then
@@ -76,7 +76,7 @@
     def withdraw(
         self, withdrawals: Iterable[Withdrawal]
     ) -> frozenset[Withdrawal]:
-        """Merge withdrawals into the known set.
+        """Merge withdrawals into those received before.
 
         Returns
         -------
@@ -132,6 +132,6 @@
 
     def _is_granted(self, organisation: str, key_hash: str) -> bool:
         return any(
-            compare_digest(known, key_hash)
-            for known in self.hashes(organisation)
+            compare_digest(granted, key_hash)
+            for granted in self.hashes(organisation)
         )
--- a/redwingpost/configuration/state.py
+++ b/redwingpost/configuration/state.py
@@ -94,7 +94,7 @@
     def withdraw(
         self, withdrawals: Iterable[Withdrawal]
     ) -> frozenset[Withdrawal]:
-        """Merge withdrawals into the known set; return the new ones."""
+        """Merge withdrawals into those received before; return new ones."""
         new = frozenset(withdrawals) - self._withdrawn
         self._withdrawn |= new
         return new
--- a/redwingpost/core/requests.py
+++ b/redwingpost/core/requests.py
@@ -15,7 +15,7 @@
     """Marks of a request, from query attributes or the leading comment.
 
     ``max_staleness_ms`` and ``deadline_ms`` are milliseconds, relative
-    to the arrival of the request; zero stands for unset.
+    to the arrival of the request; zero means unset.
     """
 
     kind: RequestKind = ""
--- a/redwingpost/operator/actions.py
+++ b/redwingpost/operator/actions.py
@@ -34,7 +34,7 @@
     encode_withdrawals,
 )
 
-#: Limit on one call to an agent.
+#: Timeout of one call to an agent (seconds).
 AGENT_TIMEOUT_S = 2.0
 
 
@@ -85,10 +85,10 @@
         answers = await gather(
             *(self._fetch_sightings(_address(b)) for b in relays)
         )
-        found = list(first.values())
+        sightings = list(first.values())
         for answer in answers:
-            found.extend(answer)
-        return latest_sightings(found)
+            sightings.extend(answer)
+        return latest_sightings(sightings)
 
     async def _initial_sightings(self) -> dict[str, Sighting]:
         listed = await self._vm_list.vms()
@@ -229,10 +229,10 @@
         spread it and record it later, and relays read it from the store.
         """
         wanted = tuple(withdrawals)
-        known = encode_withdrawals(wanted)
+        encoded = encode_withdrawals(wanted)
         notified, recorded = await gather(
             self.agents.notify(
-                lambda n: n.fleet().fleet.withdrawals(known=known)
+                lambda n: n.fleet().fleet.withdrawals(known=encoded)
             ),
             self.log.withdraw(wanted, change),
         )
--- a/redwingpost/operator/refusals.py
+++ b/redwingpost/operator/refusals.py
@@ -12,7 +12,7 @@
 from msgspec import DecodeError
 from msgspec.json import decode
 
-#: Width of one column of the table.
+#: Span of one column of the table (seconds).
 SPAN_S = 2.0
 
 #: Kinds of log lines about one refused or late request.
@@ -104,8 +104,10 @@
         begin = float(fields.get("at", 0.0)) // span_s * span_s
         counts[cause, begin] += weight
     causes = {cause for cause, _ in counts}
-    found = [_make_line(cause, counts) for cause in causes]
-    return tuple(sorted(found, key=lambda item: (-item.count, item.cause)))
+    cause_lines = [_make_line(cause, counts) for cause in causes]
+    return tuple(
+        sorted(cause_lines, key=lambda item: (-item.count, item.cause))
+    )
 
 
 def _make_line(
--- a/redwingpost/pools/pool.py
+++ b/redwingpost/pools/pool.py
@@ -18,7 +18,8 @@
 from redwingpost.ports.database import DatabaseLink
 from redwingpost.statements.setup import LinkContents, count_setup_steps
 
-#: Control connections of one VM to one member: status and takeover.
+#: Control connections of one VM to one member, for status and takeover
+#: requests.
 CONTROL_CONNECTIONS = 1
 
 #: Multiple of its equal share that a VM may open while no member refuses
@@ -164,7 +165,7 @@
         Returns
         -------
         PooledLink, Open or Busy
-            An idle connection, leave to open a new one, or neither.
+            An idle connection, permission to open a new one, or neither.
         """
         idle = self._best_idle(organisation, values_by_name, shape)
         if idle is not None:
--- a/redwingpost/retries/idempotency.py
+++ b/redwingpost/retries/idempotency.py
@@ -19,12 +19,13 @@
 
 TABLE = "redwing_idempotency"
 
-#: A caller retries within its deadline, or after an outage of a night;
-#: one day covers both.
+#: Seconds for which a record is kept. A caller retries within its deadline,
+#: or after an outage of a night; one day covers both.
 RETENTION_S = 24 * 3600.0
 
-#: A deletion occupies a slot like a write. A batch of this size takes a few
-#: milliseconds, so that other statements aren't delayed.
+#: Expired records deleted by one statement. It occupies a slot like a write;
+#: with this number it takes a few milliseconds, so that other statements
+#: aren't delayed.
 PURGE_BATCH = 200
 
 #: Number of keyed writes between two purges. For every 100 new rows up to
@@ -36,7 +37,7 @@
 
 
 class Record(NamedTuple):
-    """Row of a key. ``created`` is in seconds since the epoch."""
+    """Stored record of a key; ``created`` is in seconds since the epoch."""
 
     organisation: str
     idempotency_key: str
@@ -69,7 +70,7 @@
     ----------
     sql : str
         The statement as sent to the target, without marks and with
-        bound values: equal orders for two parishes differ.
+        bound values: with other values it is another statement.
 
     Examples
     --------
--- a/redwingpost/retries/table.py
+++ b/redwingpost/retries/table.py
@@ -59,7 +59,7 @@
     """One row of the table.
 
     ``action`` is taken if possible; otherwise ``code`` is the answer.
-    None stands for the target's own error.
+    None means the target's own error.
     """
 
     action: Action
--- a/redwingpost/retries/tests/test_retries.py
+++ b/redwingpost/retries/tests/test_retries.py
@@ -205,8 +205,8 @@
         count = "SELECT COUNT(*) FROM redwing_idempotency"
         for left in (251, 51, 1, 1):
             self.database.execute(purge_sql(90_000))
-            found = self.database.execute(count).fetchone()[0]
-            self.assertEqual(found, left)
+            rows = self.database.execute(count).fetchone()[0]
+            self.assertEqual(rows, left)
 
 
 class DuplicateTest(TestCase):
@@ -217,9 +217,9 @@
             (record, "print-2", Duplicate.REUSED, Code.KEY_REUSED),
             (None, "print-1", Duplicate.RUNNING, Code.STILL_RUNNING),
         ]
-        for found, statement_fingerprint, duplicate, code in table:
+        for stored, statement_fingerprint, duplicate, code in table:
             with self.subTest(duplicate=duplicate):
-                answer = resolve_duplicate(found, statement_fingerprint)
+                answer = resolve_duplicate(stored, statement_fingerprint)
                 self.assertIs(answer.duplicate, duplicate)
                 refused = answer.refusal and answer.refusal.code
                 self.assertEqual(refused, code)
--- a/redwingpost/routing/freshness.py
+++ b/redwingpost/routing/freshness.py
@@ -1,9 +1,9 @@
 """Whether a member is proven to hold the position that a read needs.
 
 Load pattern: replicas lag by 100 ms in normal operation and by minutes under
-faults. Without proof a session may miss its own write. If each read asked the
-member first, it would cost two round trips; instead one status poll of each
-member proves positions for all reads until the next poll.
+faults. Without proof a session may miss its own write. If each read first
+requested the member's position, it would cost two round trips; instead one
+status poll of each member proves positions for all reads until the next poll.
 """
 
 from redwingpost.core import GroupView, Position
--- a/redwingpost/routing/policies.py
+++ b/redwingpost/routing/policies.py
@@ -16,7 +16,7 @@
 
 from redwingpost.core import Registry
 
-#: Seconds to open a connection, as in present installations.
+#: Seconds to open a connection to a member in present installations.
 CONNECT_S = 0.012
 
 
--- a/redwingpost/scheduling/tests/test_fair.py
+++ b/redwingpost/scheduling/tests/test_fair.py
@@ -85,7 +85,7 @@
         queue = FairQueue()
         for number in range(9):
             queue.push(("flood", number), Flow("flood", ""), 1.0)
-        queue.push(("quiet", 0), Flow("quiet", ""), 1.0)
+        queue.push(("idle", 0), Flow("idle", ""), 1.0)
         self.assertEqual(queue.eviction_candidate(), ("flood", 8))
 
     def test_random_use_keeps_the_counts(self):
--- a/redwingpost/sessions/positions.py
+++ b/redwingpost/sessions/positions.py
@@ -23,12 +23,12 @@
 
     Examples
     --------
-    >>> seen = SessionPositions()
-    >>> seen.advance("catalogue-1", Position(1, 7))
-    >>> seen.advance("catalogue-1", Position(1, 5))
-    >>> seen.after("catalogue-1")
+    >>> positions = SessionPositions()
+    >>> positions.advance("catalogue-1", Position(1, 7))
+    >>> positions.advance("catalogue-1", Position(1, 5))
+    >>> positions.after("catalogue-1")
     Position(term=1, index=7)
-    >>> seen.after("catalogue-2") is None
+    >>> positions.after("catalogue-2") is None
     True
     """
 
@@ -65,15 +65,15 @@
     def advance(self, group: str, position: Position) -> None:
         """Record the position of a write or a read.
 
-        A position lower than the known one is ignored.
+        A position lower than the recorded one is ignored.
         """
-        known = self._positions_by_group.get(group, ZERO_POSITION)
-        self._positions_by_group[group] = max(known, position)
+        recorded = self._positions_by_group.get(group, ZERO_POSITION)
+        self._positions_by_group[group] = max(recorded, position)
 
     def merge(
         self, positions_by_group: Mapping[str, Position], whole: bool
     ) -> None:
-        """Merge the positions of a token into the known ones."""
+        """Merge the positions of a token into the recorded ones."""
         for group, position in positions_by_group.items():
             self.advance(group, position)
         self._whole = self._whole or whole
--- a/redwingpost/sessions/tokens.py
+++ b/redwingpost/sessions/tokens.py
@@ -26,8 +26,9 @@
 #: section 5 allows truncation to half of the output of SHA-256.
 MAC_BYTES = 16
 
-#: A token is sent in the leading comment of a statement. 32 groups with
-#: names of 64 characters need 3.3 KB; most callers use three groups.
+#: Groups and characters of one token, at most. A token is sent in the
+#: leading comment of a statement. 32 groups with names of 64 characters
+#: need 3.3 KB; most callers use three groups.
 MAX_GROUPS = 32
 MAX_TOKEN_CHARS = 8192
 
--- a/redwingpost/settings/load.py
+++ b/redwingpost/settings/load.py
@@ -42,8 +42,9 @@
 
 LOG_LEVELS = ("TRACE", "DEBUG", "INFO", "WARNING", "ERROR", "CRITICAL")
 
-#: A shorter HMAC-SHA256 secret could be guessed offline from one token;
-#: 16 characters of a random secret hold at least 64 bits.
+#: Shortest secret, in characters. A shorter HMAC-SHA256 secret could be
+#: guessed offline from one token; 16 characters of a random secret hold at
+#: least 64 bits.
 MIN_SECRET_CHARS = 16
 
 
