--- a/redwingpost/admission/controller.py
+++ b/redwingpost/admission/controller.py
@@ -288,10 +288,10 @@
     ) -> tuple[int, Refusal] | None:
         if len(queue) <= MAX_QUEUED:
             return None
-        victim = queue.eviction_candidate()
-        queue.remove(victim, victim.flow)
-        del self._waiting_by_ticket[victim.ticket]
-        return victim.ticket, queue_full_refusal(wait_s)
+        evicted = queue.eviction_candidate()
+        queue.remove(evicted, evicted.flow)
+        del self._waiting_by_ticket[evicted.ticket]
+        return evicted.ticket, queue_full_refusal(wait_s)
 
     def _record_times(
         self,
--- a/redwingpost/configuration/parse.py
+++ b/redwingpost/configuration/parse.py
@@ -39,8 +39,8 @@
 #: Keeps a refusal readable: further faults are only counted.
 MAX_FAULTS_SHOWN = 12
 
-#: 1,300 groups of three members and some thousand organisations take
-#: about 2 MB of JSON; a body above the limit is a mistake.
+#: Largest body: 1,300 groups of three members and some thousand
+#: organisations take about 2 MB of JSON, so a larger one is a mistake.
 MAX_BODY_BYTES = 8 * 1024 * 1024
 
 
--- a/redwingpost/groups/evidence.py
+++ b/redwingpost/groups/evidence.py
@@ -169,7 +169,7 @@
         self._add_sample(Sample(taken_at, position))
 
     def newest_sample(self) -> Sample | None:
-        """Return the youngest sample."""
+        """Return the newest sample."""
         return max(self._samples, default=None)
 
     def derive_proof(
--- a/redwingpost/membership/tests/test_gathering.py
+++ b/redwingpost/membership/tests/test_gathering.py
@@ -155,7 +155,7 @@
         """
         table = DigestTable()
         table.note(self._digest("g", {1, 2}), now=1.0)
-        cases = (("known", 2, {1, 2}), ("lost", 9, {1, 2}))
+        cases = (("received", 2, {1, 2}), ("lost", 9, {1, 2}))
         for name, number, expected in cases:
             with self.subTest(name):
                 report = CellReport("a/0", 0, None, number, 1, "ip", 2)
--- a/redwingpost/promotion/detection.py
+++ b/redwingpost/promotion/detection.py
@@ -112,7 +112,7 @@
 class MemberObservation(NamedTuple):
     """State of one member as one observer has it from its probes.
 
-    ``term`` is the promised term. ``leads`` tells whether the member is
+    ``term`` is the promised term. ``leads`` says whether the member is
     an active primary, one whose log ends in its promised term. ``age_s``
     is the proven age of a replica's data, infinite if unknown.
     """
--- a/redwingpost/promotion/tests/test_detection.py
+++ b/redwingpost/promotion/tests/test_detection.py
@@ -181,7 +181,7 @@
         every = tuple(MemberObservation(member, 0.1) for member in MEMBERS)
         one_unreachable = every[:2] + (MemberObservation("c", 3.0),)
         table = [
-            ("nobody leaves", (), every, Diagnosis.HEALTHY),
+            ("no member leaves", (), every, Diagnosis.HEALTHY),
             ("a replica leaves", ("b",), every, Diagnosis.HEALTHY),
             ("the primary leaves", ("a",), every, Diagnosis.LEAVING),
             (
@@ -258,11 +258,11 @@
     def test_work_is_spread_at_full_size(self):
         """A VM that observed most groups would be overloaded by probes."""
         vms = self.vms(1_000, 14)
-        watched_by_vm = {}
+        group_count_by_vm = {}
         for number in range(130):
             for vm in choose_observers(f"group-{number}", vms):
-                watched_by_vm[vm.vm] = watched_by_vm.get(vm.vm, 0) + 1
-        self.assertLessEqual(max(watched_by_vm.values()), 8)
+                group_count_by_vm[vm.vm] = group_count_by_vm.get(vm.vm, 0) + 1
+        self.assertLessEqual(max(group_count_by_vm.values()), 8)
 
     def test_order_of_the_list_does_not_matter(self):
         vms = self.vms(9, 3)
--- a/redwingpost/promotion/tests/test_election.py
+++ b/redwingpost/promotion/tests/test_election.py
@@ -224,8 +224,8 @@
         ]
         for name, member, listed in table:
             with self.subTest(name):
-                found = must_follow((member, new))
-                self.assertEqual([s.member for s in found], ["a"] * listed)
+                statuses = must_follow((member, new))
+                self.assertEqual([s.member for s in statuses], ["a"] * listed)
 
     def test_highest_term_leads(self):
         old, new = status("a", "primary", 1), status("b", "primary", 2, term=2)
@@ -250,7 +250,7 @@
         ]
         for position, expected, lost in table:
             with self.subTest(position=position):
-                found = continue_from(position, history)
-                self.assertEqual(found, (expected, lost))
-                again = continue_from(found.position, history)
+                first = continue_from(position, history)
+                self.assertEqual(first, (expected, lost))
+                again = continue_from(first.position, history)
                 self.assertFalse(again.lost)
--- a/redwingpost/rates/demand.py
+++ b/redwingpost/rates/demand.py
@@ -181,7 +181,7 @@
     ledger : Ledger
         The organisation's ledger at the lender.
     demand, waiting, now
-        As in `shortfall`, for the lender.
+        As in ``shortfall``, for the lender.
     requested : LoanAmount
         The amount that the peer requests.
     """
--- a/redwingpost/rates/ledger.py
+++ b/redwingpost/rates/ledger.py
@@ -80,7 +80,7 @@
 
         Parts lent beyond a base that has shrunk are not subtracted from
         the borrowed parts: before the difference is assigned to another
-        VM, these loans have expired (`HAND_OVER_S` in the roster).
+        VM, these loans have expired (``HAND_OVER_S`` in the roster).
         """
         lent = sum(loan.parts for loan in self.lent_by_loan.values())
         borrowed = sum(
--- a/redwingpost/rates/loans.py
+++ b/redwingpost/rates/loans.py
@@ -113,7 +113,7 @@
     numbers : iterator of int
         Loan numbers, shared by all organisations of the process. After a
         restart they continue with unused numbers (see
-        `number_sequence`), so that a message about an old loan is not
+        ``number_sequence``), so that a message about an old loan is not
         applied to a new one.
     """
 
@@ -174,7 +174,7 @@
     ledger : Ledger
         The organisation's ledger on this VM.
     numbers : iterator of int
-        As for `Lender`. An answer to the previous process on this VM
+        As for ``Lender``. An answer to the previous process on this VM
         must not match a request of this process: that request was sent
         later, and the validity would be counted from that later time.
     """
--- a/redwingpost/rates/roster.py
+++ b/redwingpost/rates/roster.py
@@ -7,15 +7,15 @@
 
 The row lists for each VM its parts per million (the same for every
 organisation) and the incarnation of the agent that claimed them. The
-parts always sum to `TOTAL_PARTS`. A VM's parts change in three ways
+parts always sum to ``TOTAL_PARTS``. A VM's parts change in three ways
 only:
 
 - its own agent hands them over, after its proxy has stopped spending
-  them (`HAND_OVER_S`);
-- the VM has been missing from the platform's list for `GONE_S`;
+  them (``HAND_OVER_S``);
+- the VM has been missing from the platform's list for ``GONE_S``;
 - a newer incarnation of the same VM claims them.
 
-A holder that can't reach the store keeps its parts for `MAX_ROW_AGE_S`:
+A holder that can't reach the store keeps its parts for ``MAX_ROW_AGE_S``:
 the assignment can't change while the store is down, and a data centre
 that is cut off continues with its parts. The cost: the parts of a VM
 that is paused or cut off stay unused until it returns; loans from other
@@ -81,7 +81,7 @@
     Raises
     ------
     ValueError
-        If the parts don't sum to `TOTAL_PARTS`: writing them would
+        If the parts don't sum to ``TOTAL_PARTS``: writing them would
         change the rate that the fleet as a whole grants.
     """
     total = sum(holder.parts for holder in roster.values())
@@ -91,7 +91,7 @@
 
 
 def equal_parts(vms: list[str]) -> dict[str, int]:
-    """Split `TOTAL_PARTS` equally; the first VMs get the remainder.
+    """Split ``TOTAL_PARTS`` equally; the first VMs get the remainder.
 
     Examples
     --------
@@ -164,7 +164,7 @@
 def gone_vms(
     roster: Roster, missing_since_by_vm: dict[str, float], now: float
 ) -> list[str]:
-    """Return the holders missing from the platform's list for `GONE_S`."""
+    """Return the holders missing from the platform's list for ``GONE_S``."""
     return sorted(
         vm
         for vm, since in missing_since_by_vm.items()
--- a/redwingpost/rates/usage.py
+++ b/redwingpost/rates/usage.py
@@ -152,7 +152,7 @@
         self._last_refill_terms: tuple[OrganisationRule, float] | None = None
 
     def refill_unchanged(self, now: float) -> None:
-        """Refill by the rule and part of the last call of `refill`."""
+        """Refill by the rule and part of the last call of ``refill``."""
         if self._last_refill_terms is not None:
             self.refill(*self._last_refill_terms, now)
 
--- a/redwingpost/rates/waiting.py
+++ b/redwingpost/rates/waiting.py
@@ -7,7 +7,7 @@
 organisation far over its rate is refused late and occupies connections
 meanwhile.
 
-A request waits only while its tokens will be available within `WAIT_S`,
+A request waits only while its tokens will be available within ``WAIT_S``,
 or while a lender's answer is pending. Otherwise it is refused at once,
 with the time after which its tokens will be available.
 """
--- a/redwingpost/takeover/triggers.py
+++ b/redwingpost/takeover/triggers.py
@@ -185,8 +185,8 @@
 def _is_stalled(view: LeaderView) -> bool:
     """Return whether the primary's commits don't reach its replicas.
 
-    A VM that reaches all members sees it in their logs. Otherwise it shows
-    in that writes wait and no VM has one acknowledged. That also covers a
+    A VM that reaches all members detects it by their logs. Otherwise the
+    sign is that writes wait and no VM has one acknowledged. That also covers a
     partition with the primary and some VMs on one side and its replicas on
     the other, where no VM reaches both.
     """
