--- a/redwingpost/promotion/tests/test_detection.py
+++ b/redwingpost/promotion/tests/test_detection.py
@@ -45,12 +45,12 @@
         self.assertIs(diagnosis, Diagnosis.MAJORITY_UNREACHABLE)
 
     def test_table(self):
-        silent, heard = 0.8, 0.1
-        everyone = [report(n, silent) for n in range(6)]
-        majority = [report(n, silent) for n in range(4)]
-        majority += [report(n, heard) for n in range(4, 6)]
-        half = [report(n, silent) for n in range(3)]
-        half += [report(n, heard) for n in range(3, 6)]
+        lost_s, reachable_s = 0.8, 0.1
+        everyone = [report(n, lost_s) for n in range(6)]
+        majority = [report(n, lost_s) for n in range(4)]
+        majority += [report(n, reachable_s) for n in range(4, 6)]
+        half = [report(n, lost_s) for n in range(3)]
+        half += [report(n, reachable_s) for n in range(3, 6)]
         paused = [report(n, 0.3 + PROBE_INTERVAL_S) for n in range(6)]
         table = [
             ("all", everyone, Diagnosis.PRIMARY_LOST),
@@ -181,7 +181,7 @@
         every = tuple(MemberObservation(member, 0.1) for member in MEMBERS)
         one_unreachable = every[:2] + (MemberObservation("c", 3.0),)
         table = [
-            ("nobody leaves", (), every, Diagnosis.HEALTHY),
+            ("no member leaves", (), every, Diagnosis.HEALTHY),
             ("a replica leaves", ("b",), every, Diagnosis.HEALTHY),
             ("the primary leaves", ("a",), every, Diagnosis.LEAVING),
             (
@@ -232,10 +232,10 @@
                 0.0,
             ),
         ]
-        for name, seen, expected in table:
+        for name, rounds, expected in table:
             with self.subTest(name):
                 meter = ReplicationMeter()
-                for second, (primary, replicas) in enumerate(seen):
+                for second, (primary, replicas) in enumerate(rounds):
                     meter.observe(primary, replicas, float(second))
                 self.assertEqual(meter.stalled_s(2.0), expected)
 
@@ -258,11 +258,11 @@
     def test_work_is_spread_at_full_size(self):
         """A VM that observed most groups would be overloaded by probes."""
         vms = self.vms(1_000, 14)
-        watched_by_vm = {}
+        group_count_by_vm = {}
         for number in range(130):
             for vm in choose_observers(f"group-{number}", vms):
-                watched_by_vm[vm.vm] = watched_by_vm.get(vm.vm, 0) + 1
-        self.assertLessEqual(max(watched_by_vm.values()), 8)
+                group_count_by_vm[vm.vm] = group_count_by_vm.get(vm.vm, 0) + 1
+        self.assertLessEqual(max(group_count_by_vm.values()), 8)
 
     def test_order_of_the_list_does_not_matter(self):
         vms = self.vms(9, 3)
--- a/redwingpost/rates/usage.py
+++ b/redwingpost/rates/usage.py
@@ -117,12 +117,12 @@
     def __init__(self, now: float) -> None:
         self.own = 0.0
         self.total = 0.0
-        self._at = now
+        self._decayed_at = now
 
     def decay(self, now: float) -> None:
         """Decay both counts to ``now``."""
-        kept = exp(-max(0.0, now - self._at) / DEMAND_AVERAGE_S)
-        self._at = now
+        kept = exp(-max(0.0, now - self._decayed_at) / DEMAND_AVERAGE_S)
+        self._decayed_at = now
         self.own *= kept
         self.total *= kept
 
@@ -152,7 +152,7 @@
         self._last_refill_terms: tuple[OrganisationRule, float] | None = None
 
     def refill_unchanged(self, now: float) -> None:
-        """Refill by the rule and part of the last call of `refill`."""
+        """Refill by the rule and part of the last call of ``refill``."""
         if self._last_refill_terms is not None:
             self.refill(*self._last_refill_terms, now)
 
--- a/redwingpost/takeover/triggers.py
+++ b/redwingpost/takeover/triggers.py
@@ -36,7 +36,8 @@
 #: milliseconds, however long they take to apply it.
 STALLED_S = 1.2
 
-#: Seconds without a primary among the members that answer.
+#: Seconds without a primary among the members that answer, after which one
+#: of them is promoted.
 NO_PRIMARY_S = 0.8
 
 #: Seconds by which each further VM delays its takeover after the one before
@@ -184,8 +185,8 @@
 def _is_stalled(view: LeaderView) -> bool:
     """Return whether the primary's commits don't reach its replicas.
 
-    A VM that reaches all members sees it in their logs. Otherwise it shows
-    in that writes wait and no VM has one acknowledged. That also covers a
+    A VM that reaches all members detects it by their logs. Otherwise the
+    sign is that writes wait and no VM has one acknowledged. That also covers a
     partition with the primary and some VMs on one side and its replicas on
     the other, where no VM reaches both.
     """
