--- a/redwingpost/node/forwarding/forwarder.py
+++ b/redwingpost/node/forwarding/forwarder.py
@@ -238,8 +238,8 @@
         self, channel: HomeChannel, future: Future, until: float
     ) -> Done:
         while True:
-            asked_at = self._clock.now()
-            remaining_s = until - asked_at
+            waiting_since = self._clock.now()
+            remaining_s = until - waiting_since
             if remaining_s <= 0.0:
                 raise HomeLost("no answer in time", sent=True)
             await wait({future}, timeout=min(READ_SILENCE_S, remaining_s))
@@ -247,7 +247,10 @@
                 return future.result()
             # An overloaded home also sends nothing. Without the retry
             # budget each of its reads would be sent several times.
-            if channel.last_received_at < asked_at and self._budget.spend():
+            if (
+                channel.last_received_at < waiting_since
+                and self._budget.spend()
+            ):
                 raise HomeLost("no message from the home", sent=True)
 
     def _note_lost(
--- a/redwingpost/node/forwarding/homes.py
+++ b/redwingpost/node/forwarding/homes.py
@@ -21,7 +21,7 @@
 #: Seconds without a heartbeat after which another VM replaces a home. Longer
 #: than a few delayed heartbeats, since each change of home costs
 #: connections. A home that doesn't answer is skipped sooner.
-HEARTBEAT_TIMEOUT_S = 3.0
+HOME_TIMEOUT_S = 3.0
 
 #: Seconds for which a home that didn't answer a statement is skipped.
 SUSPECT_S = 2.0
@@ -153,7 +153,7 @@
     def _alive_vms(self, now: float) -> tuple[VmAddress, ...]:
         """Return the VMs that may be homes, the same for all groups."""
         if now >= self._alive_until:
-            self._alive = self._vms.alive_addresses(now, HEARTBEAT_TIMEOUT_S)
+            self._alive = self._vms.alive_addresses(now, HOME_TIMEOUT_S)
             self._alive_until = now + CACHE_S / 2.0
         return self._alive
 
--- a/redwingpost/node/group.py
+++ b/redwingpost/node/group.py
@@ -258,7 +258,7 @@
     ) -> bool:
         silence = MemberSilence(
             now - client.answered_at,
-            now - client.asked_at,
+            now - client.command_sent_at,
             self._vms.reached_elsewhere_s(member, now),
             client.waiting_s,
         )
@@ -358,28 +358,30 @@
         return await self.proofs.prove()
 
     async def _probe_all_members(self) -> None:
-        asked_at = self.round_at = self._clock.now()
+        requested_at = self.round_at = self._clock.now()
         clients = tuple(self.member_by_name.values())
-        await gather(*(self._probe_member(item, asked_at) for item in clients))
+        await gather(
+            *(self._probe_member(item, requested_at) for item in clients)
+        )
         self._note_stall()
         self._note_pauses()
         self._update_leader_state()
 
     async def _probe_member(
-        self, client: MemberClient, asked_at: float
+        self, client: MemberClient, requested_at: float
     ) -> None:
         report = await client.send_command("status")
         member = client.entry.member
         if report is None or member not in self.member_by_name:
             return
-        self.evidence.note_report(member, report, asked_at)
+        self.evidence.note_report(member, report, requested_at)
         now = self._clock.now()
         provers = frozenset(
             name
             for name in self.member_by_name
             if self.proofs.is_trusted(name, now)
         )
-        self.evidence.derive_proof(asked_at, provers)
+        self.evidence.derive_proof(requested_at, provers)
         self._update_leader_state()
 
     def _note_stall(self) -> None:
--- a/redwingpost/node/lead_proofs.py
+++ b/redwingpost/node/lead_proofs.py
@@ -109,14 +109,14 @@
 
     async def query_replicas(self, leader: str) -> tuple[ReplicaAnswer, ...]:
         """Request a report from all members but the primary."""
-        asked_at = self._clock.now()
+        requested_at = self._clock.now()
         clients = [
             client
             for name, client in self._member_by_name.items()
             if name != leader
         ]
         reports = await gather(
-            *(self._request_report(client, asked_at) for client in clients)
+            *(self._request_report(client, requested_at) for client in clients)
         )
         now = self._clock.now()
         self._on_answers()
@@ -136,11 +136,11 @@
         return is_proven and is_claimed
 
     async def _query_replica(self) -> bool:
-        asked_at = self._clock.now()
+        requested_at = self._clock.now()
         for client in self._provers():
-            report = await self._request_report(client, asked_at)
+            report = await self._request_report(client, requested_at)
             if report is not None and self._evidence.is_proof(report):
-                self._evidence.note_proof(asked_at)
+                self._evidence.note_proof(requested_at)
                 return True
         self._on_answers()
         return False
@@ -155,12 +155,12 @@
         return report.is_primary and report.term == term
 
     async def _request_report(
-        self, client: MemberClient, asked_at: float
+        self, client: MemberClient, requested_at: float
     ) -> StatusReport | None:
         report = await client.send_command("status")
         member = client.entry.member
         if report is not None and member in self._member_by_name:
-            self._evidence.note_report(member, report, asked_at)
+            self._evidence.note_report(member, report, requested_at)
         return report
 
     def _replicas(self) -> list[str]:
--- a/redwingpost/node/member.py
+++ b/redwingpost/node/member.py
@@ -90,10 +90,10 @@
         self.pool = MemberPool(self.budget)
         self.latency = LatencyTracker()
         self.statements_in_flight = 0
-        self.behind_until = float("-inf")
+        self.lagging_until = float("-inf")
         self.answered_at = clock.now()
         self.failed_at = float("-inf")
-        self.asked_at = float("-inf")
+        self.command_sent_at = float("-inf")
         self._unanswered = 0
         self._sent_at = float("-inf")
         self._links = links
@@ -134,18 +134,18 @@
     @property
     def has_unanswered(self) -> bool:
         """Whether anything sent there has had no answer yet."""
-        return self._unanswered > 0 or self.asked_at > self.answered_at
+        return self._unanswered > 0 or self.command_sent_at > self.answered_at
 
     @property
     def unanswered_s(self) -> float:
         """Return how long anything sent has been unanswered (seconds)."""
-        asked_s = 0.0
-        if self.asked_at > self.answered_at:
-            asked_s = self._clock.now() - self.asked_at
-        return max(self.waiting_s, asked_s, self.failing_s)
+        command_unanswered_s = 0.0
+        if self.command_sent_at > self.answered_at:
+            command_unanswered_s = self._clock.now() - self.command_sent_at
+        return max(self.waiting_s, command_unanswered_s, self.failing_s)
 
     def health(self) -> MemberHealth:
-        """Return the member's health, for the watch of data centres."""
+        """Return the member's health, for ``CentreWatch``."""
         return MemberHealth(
             self.entry.data_centre, self.silent_s, self.unanswered_s
         )
@@ -156,7 +156,7 @@
         If it failed since its last answer, it gets no reads until it has
         answered a probe.
         """
-        return now >= self.behind_until and not self.is_failing
+        return now >= self.lagging_until and not self.is_failing
 
     def note_answer(self) -> None:
         """Record that the member has just answered."""
@@ -197,21 +197,26 @@
 
         Raises
         ------
-        NoPlace, MemberRefused, LinkLost
+        NoConnectionFree
+            If none was free before the deadline.
+        MemberRefused
+            If the member refused a new connection.
+        LinkLost
+            If a new connection could not be opened.
         """
-        asked_at = self._clock.now()
+        requested_at = self._clock.now()
         while True:
             now = self._clock.now()
             taken = self.pool.take(organisation, values_by_name, shape, now)
             if isinstance(taken, PooledLink):
                 if taken.link.is_open:
-                    self._log_long_wait(organisation, now - asked_at)
+                    self._log_long_wait(organisation, now - requested_at)
                     return taken
                 self.discard(taken)
             elif isinstance(taken, Open):
                 opened = await self._open(taken, organisation, deadline)
                 if opened is not None:
-                    waited_s = self._clock.now() - asked_at
+                    waited_s = self._clock.now() - requested_at
                     self._log_long_wait(organisation, waited_s)
                     return opened
                 await self._wait_for_connection(
@@ -261,7 +266,7 @@
     ) -> StatusReport | None:
         """Send a control command; return None if no report came."""
         is_silent = self.unanswered_s >= SILENT_S
-        self.asked_at = self._clock.now()
+        self.command_sent_at = self._clock.now()
         try:
             return await wait_for(
                 self._send_in_turn(command, arguments),
@@ -280,7 +285,7 @@
     def close_idle(self, close_all: bool) -> None:
         """Close connections idle for too long, or all idle ones."""
         now = self._clock.now()
-        if now - self.asked_at > CONTROL_IDLE_S:
+        if now - self.command_sent_at > CONTROL_IDLE_S:
             self._close_control()
         for pooled in self.pool.close_idle(now, close_all):
             pooled.link.close()
--- a/redwingpost/node/request/reads.py
+++ b/redwingpost/node/request/reads.py
@@ -226,7 +226,7 @@
             return NoAnswer("no answer in time")
         if isinstance(outcome, Reply) and outcome.failure is not None:
             if outcome.failure.kind is FailureKind.BEHIND:
-                client.behind_until = self._clock.now() + LAGGING_PAUSE_S
+                client.lagging_until = self._clock.now() + LAGGING_PAUSE_S
         return outcome
 
     def _hedge_wait_s(
--- a/redwingpost/node/request/transaction.py
+++ b/redwingpost/node/request/transaction.py
@@ -271,7 +271,7 @@
             client.statements_in_flight += 1
             return None
         if outcome.failure.kind is FailureKind.BEHIND:
-            client.behind_until = self._clock.now() + LAGGING_PAUSE_S
+            client.lagging_until = self._clock.now() + LAGGING_PAUSE_S
         if outcome.in_transaction:
             client.discard(pooled)
         else:
--- a/redwingpost/node/service.py
+++ b/redwingpost/node/service.py
@@ -71,10 +71,10 @@
 #: removes a VM after two failed checks, one a second.
 LEAVE_BALANCER_S = 2.2
 
-#: Seconds after which a VM that isn't ready closes resting sessions: on
+#: Seconds after which a VM that isn't ready closes idle sessions: on
 #: average the load balancer has removed it by then, and a caller that still
 #: reconnects to it is disconnected again at the next step.
-CLOSE_RESTING_AFTER_S = 1.5
+CLOSE_IDLE_AFTER_S = 1.5
 
 #: Seconds that a caller waits for the first configuration of a VM that has
 #: just started; it arrives well within this time. If callers that reconnect
@@ -478,10 +478,10 @@
             self.is_ready = is_ready
             log_event("readiness", ready=is_ready, **inputs._asdict())
             self._unready_since = None if is_ready else now
-        self._close_resting_sessions(now)
+        self._close_idle_sessions(now)
 
-    def _close_resting_sessions(self, now: float) -> None:
-        """Close resting sessions while this VM isn't ready.
+    def _close_idle_sessions(self, now: float) -> None:
+        """Close idle sessions while this VM isn't ready.
 
         The load balancer diverts only new connections. During a partition,
         long sessions would stay here and be refused until it heals.
@@ -490,7 +490,7 @@
             return
         if (
             self.callers is None
-            or now - self._unready_since < CLOSE_RESTING_AFTER_S
+            or now - self._unready_since < CLOSE_IDLE_AFTER_S
         ):
             return
         closed = self.callers.close_idle()
@@ -505,7 +505,7 @@
     async def drain(self) -> None:
         """Leave the load balancer, let sessions end, then stop.
 
-        Resting connections are closed once the load balancer has had time
+        Idle connections are closed once the load balancer has had time
         to divert new ones.
         """
         callers = self.callers
--- a/redwingpost/node/takeover/coordinator.py
+++ b/redwingpost/node/takeover/coordinator.py
@@ -117,10 +117,10 @@
 
     async def run(self, reason: Reason) -> str:
         """Replace the primary; return the outcome for log and metrics."""
-        statuses = await self._ask_all(self.clients, "status")
+        statuses = await self._send_to_all(self.clients, "status")
         leader = current_primary(statuses, self._group.evidence.term)
         if await self._demote_stale(statuses, leader):
-            statuses = await self._ask_all(self.clients, "status")
+            statuses = await self._send_to_all(self.clients, "status")
         if reason is Reason.LEFT_PAUSED and leader is not None:
             await self._resume(statuses)
             return "resumed"
@@ -154,7 +154,7 @@
                 )
         return clients
 
-    async def _ask_all(
+    async def _send_to_all(
         self, clients: dict[str, MemberClient], command: str, *arguments: int
     ) -> tuple[MemberStatus, ...]:
         """Send a command to members and return their statuses.
@@ -162,11 +162,11 @@
         A member that isn't on the roster is included only if it answers.
         """
 
-        async def ask(client: MemberClient) -> MemberStatus:
+        async def send(client: MemberClient) -> MemberStatus:
             report = await client.send_command(command, *arguments)
             return MemberStatus(client.entry, report)
 
-        statuses = await gather(*(ask(item) for item in clients.values()))
+        statuses = await gather(*(send(item) for item in clients.values()))
         return tuple(
             item
             for item in statuses
@@ -216,7 +216,7 @@
             and item.entry.member != leader
             and item.report.term < newest
         }
-        await self._ask_all(stale, "step_down", newest)
+        await self._send_to_all(stale, "step_down", newest)
         return bool(stale)
 
     # A primary that doesn't answer ---------------------------------------
@@ -225,27 +225,27 @@
         self, old: str | None, term: int
     ) -> MemberStatus | None:
         """Pause all members that answer; choose one by their positions."""
-        asked = self._clients_except([old])
-        statuses = await self._ask_all(asked, "pause", term)
+        others = self._clients_except([old])
+        statuses = await self._send_to_all(others, "pause", term)
         answering = {
             item.entry.member for item in statuses if not item.is_silent
         }
         # Pause those again, without waiting for silent members: the order
         # must be sent immediately after the answers that allow it.
-        clients = {name: asked[name] for name in answering}
+        clients = {name: others[name] for name in answering}
         self._paused_at = self._clock.now()
-        paused = await self._ask_all(clients, "pause", term)
+        paused = await self._send_to_all(clients, "pause", term)
         return self._choose_promotable(self._with_silent_members(paused), term)
 
     def _with_silent_members(
         self, answers: tuple[MemberStatus, ...]
     ) -> tuple[MemberStatus, ...]:
         """Add rostered members without an answer, as silent ones."""
-        asked = {item.entry.member for item in answers}
+        answered = {item.entry.member for item in answers}
         silent = tuple(
             MemberStatus(entry, None)
             for name, entry in self._roster.member_by_name.items()
-            if name not in asked
+            if name not in answered
         )
         return (*answers, *silent)
 
@@ -275,12 +275,12 @@
         """
         chosen = choose_replica(statuses, leader).chosen.entry
         paused = self._clients_except([leader, chosen.member])
-        await self._ask_all(paused, "pause", term)
+        await self._send_to_all(paused, "pause", term)
         if not await self._await_catch_up(chosen, leader, term):
             return None
         old = {leader: self.clients[leader]}
         next_term = newest_term(statuses) + 1
-        stopped = await self._ask_all(old, "step_down", next_term)
+        stopped = await self._send_to_all(old, "step_down", next_term)
         log_event(
             "primary-stopped",
             group=self._group.name,
@@ -307,10 +307,10 @@
         until = self._clock.now() + CATCH_UP_TIMEOUT_S
         first = self._clients_except([chosen.member])
         while True:
-            # The chosen replica is asked last: what it hasn't received by
+            # The chosen replica is queried last: what it hasn't received by
             # then was committed after the primary answered.
-            others = await self._ask_all(first, "status")
-            status = await self._ask_one(chosen.member)
+            others = await self._send_to_all(first, "status")
+            status = await self._request_status(chosen.member)
             survey = self._survey((*others, status), term)
             self._silent_members = frozenset(
                 item.entry.member for item in others if item.is_silent
@@ -339,8 +339,8 @@
             remaining = self._clients_except(
                 [name, chosen.member, *self._silent_members]
             )
-            others = await self._ask_all(remaining, "pause", term)
-            receiving = await self._ask_one(chosen.member)
+            others = await self._send_to_all(remaining, "pause", term)
+            receiving = await self._request_status(chosen.member)
             answers = (*others, receiving, stopped)
             survey = self._survey(
                 self._with_silent_members(answers), term, name
@@ -360,7 +360,7 @@
                 return None
             await sleep(POLL_S)
 
-    async def _ask_one(self, member: str) -> MemberStatus:
+    async def _request_status(self, member: str) -> MemberStatus:
         client = self.clients[member]
         return MemberStatus(client.entry, await client.send_command("status"))
 
@@ -376,7 +376,7 @@
         # waiting for a silent member would delay the detection of the
         # promotion by that request's whole timeout.
         others = self._clients_except([chosen.entry.member, old])
-        pausing = create_task(self._ask_all(others, "pause", term))
+        pausing = create_task(self._send_to_all(others, "pause", term))
         until = self._clock.now() + PROMOTION_TIMEOUT_S
         is_ordered = False
         try:
@@ -388,7 +388,9 @@
                 if await self._check_promoted(chosen):
                     return True
                 if pausing.done():
-                    pausing = create_task(self._ask_all(others, "pause", term))
+                    pausing = create_task(
+                        self._send_to_all(others, "pause", term)
+                    )
                 await sleep(POLL_S)
         finally:
             # A pause that arrives later would undo the following resume.
@@ -403,11 +405,11 @@
     async def _check_promoted(self, chosen: MemberStatus) -> bool:
         """Return whether the chosen member leads; record it if so."""
         member = chosen.entry.member
-        asked_at = self._clock.now()
+        requested_at = self._clock.now()
         report = await self.clients[member].send_command("status")
         if report is None or not report.is_primary:
             return False
-        self._group.evidence.note_report(member, report, asked_at)
+        self._group.evidence.note_report(member, report, requested_at)
         return True
 
     async def _may_order(
@@ -436,8 +438,8 @@
         term = self._group.evidence.term
         others = self._clients_except([chosen.entry.member])
         replaced = {name: others[name] for name in others if name == old}
-        await self._ask_all(replaced, "step_down", term)
-        statuses = await self._ask_all(others, "status")
+        await self._send_to_all(replaced, "step_down", term)
+        statuses = await self._send_to_all(others, "status")
         await self._resume(
             tuple(
                 item
@@ -453,7 +455,7 @@
             for item in statuses
             if item.is_silent or not item.report.is_primary
         }
-        await self._ask_all(replicas, "resume")
+        await self._send_to_all(replicas, "resume")
 
     def _log_unsafe(self, statuses: tuple[MemberStatus, ...]) -> None:
         log_event(
--- a/redwingpost/node/takeover/rosters.py
+++ b/redwingpost/node/takeover/rosters.py
@@ -212,10 +212,10 @@
         return True
 
     async def _primary_position(self, group: GroupClient) -> Position | None:
-        asked_at = self._clock.now()
+        requested_at = self._clock.now()
         await group.fresh_round()
         observed = group.evidence.last_report(group.evidence.leader or "")
-        if observed is None or observed.asked_at < asked_at:
+        if observed is None or observed.asked_at < requested_at:
             return None
         return observed.report.received
 
--- a/redwingpost/node/tests/line_caller.py
+++ b/redwingpost/node/tests/line_caller.py
@@ -5,7 +5,7 @@
 
 
 class Told(NamedTuple):
-    """The result of a statement; ``code`` is empty after a success.
+    """The outcome of a statement; ``code`` is empty after a success.
 
     ``state`` is the session's state as sent with ``READY``.
     """
@@ -32,8 +32,8 @@
     async def start(self, database: str, key: str) -> str:
         """Open the session; return "READY" or the refusal's code."""
         self.send(f"STARTUP {database} {key}")
-        word, _, rest = (await self.line()).partition(" ")
-        return word if word == "READY" else rest.partition(" ")[0]
+        keyword, _, rest = (await self.line()).partition(" ")
+        return keyword if keyword == "READY" else rest.partition(" ")[0]
 
     async def run(self, text: str) -> Told:
         """Run a statement with a new id."""
@@ -46,14 +46,14 @@
         rows = []
         code = proof = ""
         while True:
-            word, _, rest = (await self.line()).partition(" ")
-            if word == "DATAROW":
+            keyword, _, rest = (await self.line()).partition(" ")
+            if keyword == "DATAROW":
                 rows.append(rest)
-            elif word == "COMPLETE":
+            elif keyword == "COMPLETE":
                 proof = rest
-            elif word == "ERROR":
+            elif keyword == "ERROR":
                 code = rest.partition(" ")[0]
-            elif word == "READY":
+            elif keyword == "READY":
                 return Told(tuple(rows), code, rest[:1], proof)
 
     def send(self, line: str) -> None:
--- a/redwingpost/node/tests/line_site.py
+++ b/redwingpost/node/tests/line_site.py
@@ -119,15 +119,15 @@
         # Each site has its own addresses: nodes share one inner port, and
         # tests may run in parallel.
         self._prefix = f"127.{40 + getpid() % 200}.{number % 250}"
-        self.outside = LineSite()
+        self.standins = LineSite()
         self.nodes: list[NodeProcess] = []
         self._inner_ports: list[int] = []
         self._folder = Path(mkdtemp(prefix="redwing-node-"))
 
     async def start(self, nodes: int = 2) -> None:
         """Start the stand-ins and the nodes; wait until all are ready."""
-        await self.outside.start(("g1",))
-        self.outside.configure(configuration(1))
+        await self.standins.start(("g1",))
+        self.standins.configure(configuration(1))
         first_ip = f"{self._prefix}.1"
         self._inner_ports = [find_free_port(first_ip) for _ in range(2)]
         for _ in range(nodes):
@@ -140,7 +140,7 @@
         for node in self.nodes:
             if node.process.returncode is None:
                 await node.end(SIGKILL)
-        await self.outside.stop()
+        await self.standins.stop()
 
     async def add_node(self) -> NodeProcess:
         """Start one more node."""
@@ -168,7 +168,7 @@
         return node
 
     def _settings(self, vm: str, ip: str, ports: dict) -> dict[str, Any]:
-        outside = self.outside
+        standins = self.standins
         return {
             "node": vm,
             "zone": "dc-a",
@@ -180,8 +180,8 @@
             "innerPorts": self._inner_ports,
             "seeds": [],
             "bounds": {"drainMs": 7000, "graceS": 6},
-            "platform": {"address": f"{outside.ip}:{outside.store_port}"},
-            "cloudApi": {"address": f"{outside.ip}:{outside.orders_port}"},
+            "platform": {"address": f"{standins.ip}:{standins.store_port}"},
+            "cloudApi": {"address": f"{standins.ip}:{standins.orders_port}"},
         }
 
 
--- a/redwingpost/node/tests/test_failures.py
+++ b/redwingpost/node/tests/test_failures.py
@@ -20,7 +20,7 @@
         self.addAsyncCleanup(self.site.stop)
         await self.site.start(nodes=2)
         self.node = self.site.nodes[0]
-        self.group = self.site.outside.group_by_name["g1"]
+        self.group = self.site.standins.group_by_name["g1"]
 
     async def test_a_dark_primary_is_replaced_and_nothing_is_lost(
         self,
@@ -33,9 +33,9 @@
         """
         code_by_item = await self._write_through(self._silence_primary)
         self._check(code_by_item)
-        new = self.site.outside.primary_of("g1")
+        new = self.site.standins.primary_of("g1")
         self.assertNotEqual("g1-m1", new)
-        fences = [order.fence for order in self.site.outside.orders]
+        fences = [order.fence for order in self.site.standins.orders]
         self.assertEqual(sorted(fences), fences)
 
     async def test_a_leaving_primary_is_replaced_before_it_goes(
@@ -48,7 +48,7 @@
         """
         code_by_item = await self._write_through(self._drain_primary)
         self._check(code_by_item)
-        self.assertNotEqual("g1-m1", self.site.outside.primary_of("g1"))
+        self.assertNotEqual("g1-m1", self.site.standins.primary_of("g1"))
 
     async def test_a_node_starts_while_a_member_leaves(self) -> None:
         """A node starts while a member is draining.
@@ -56,7 +56,7 @@
         The node can't know how long the member has been draining. New work
         sent to it would be cut off when the member exits.
         """
-        self.site.outside.register("g1-m2", state="draining")
+        self.site.standins.register("g1-m2", state="draining")
         node = await self.site.add_node()
         await until(node.is_ready)
         caller = await node.caller("stated")
@@ -64,7 +64,7 @@
         for request in sent:
             answer = await caller.run_as(request, "READ x")
             self.assertEqual("", answer.code)
-        leaving = self.site.outside.find("g1-m2")
+        leaving = self.site.standins.find("g1-m2")
         self.assertEqual([], [run for run in leaving.runs if run[0] in sent])
 
     async def test_a_primary_without_replicas_is_replaced(self) -> None:
@@ -75,7 +75,7 @@
         """
         code_by_item = await self._write_through(self._partition_primary)
         self._check(code_by_item)
-        self.assertNotEqual("g1-m1", self.site.outside.primary_of("g1"))
+        self.assertNotEqual("g1-m1", self.site.standins.primary_of("g1"))
 
     async def test_a_lost_answer_to_a_write(self) -> None:
         """The member runs a write, and its answer is lost.
@@ -85,7 +85,7 @@
         """
         caller = await self.node.caller("own")
         await caller.run("READ x")
-        primary = self.site.outside.find("g1-m1")
+        primary = self.site.standins.find("g1-m1")
         primary.lose_answers = 1
         answer = await caller.run_as("only-once", "WRITE x 1")
         self.assertEqual("INDOUBT", answer.code)
@@ -100,11 +100,11 @@
         writer = await self.node.caller("own")
         await writer.run("WRITE y 1")
         reader = await self.node.caller("stated")
-        for server in self.site.outside.server_by_member.values():
+        for server in self.site.standins.server_by_member.values():
             server.member.lose_answers = 0
         for name in ("g1-m2", "g1-m3"):
             with self.subTest(name):
-                self.site.outside.find(name).lose_answers = 1
+                self.site.standins.find(name).lose_answers = 1
                 answer = await reader.run("READ y")
                 self.assertEqual(("1",), answer.rows)
 
@@ -114,7 +114,7 @@
         A session that has just written must not read from them.
         """
         for name in ("g1-m2", "g1-m3"):
-            self.site.outside.find(name).lags = True
+            self.site.standins.find(name).lags = True
         caller = await self.node.caller("own")
         for number in range(5):
             await caller.run(f"WRITE z {number}")
@@ -129,9 +129,9 @@
         """
         caller = await self.node.caller("strict")
         await caller.run("WRITE w old")
-        old = self.site.outside.find("g1-m1")
+        old = self.site.standins.find("g1-m1")
         self.group.promote("g1-m2")
-        new = self.site.outside.find("g1-m2")
+        new = self.site.standins.find("g1-m2")
         await self.group.commit(new, {"w": "new"})
         self.assertTrue(old.is_primary)
 
@@ -149,7 +149,7 @@
         """
         changed = configuration(2)
         changed["tenants"][1].update(ratePerS=10, burst=10)
-        self.site.outside.configure(changed)
+        self.site.standins.configure(changed)
         callers = [
             await node.caller("stated", "key-3")
             for node in self.site.nodes
@@ -166,7 +166,7 @@
 
         Nodes that have their configuration must still serve.
         """
-        self.site.outside.store.faults.is_down = True
+        self.site.standins.store.faults.is_down = True
         caller = await self.node.caller("own")
         answer = await caller.run("WRITE s 1")
         self.assertEqual("", answer.code)
@@ -175,12 +175,12 @@
         """Guards against groups without members after a store's outage."""
         caller = await self.node.caller("strict")
         self.assertEqual("", (await caller.run("READ a")).code)
-        members = tuple(self.site.outside.server_by_member)
+        members = tuple(self.site.standins.server_by_member)
         for member in members:
-            self.site.outside.remove_entry(member)
+            self.site.standins.remove_entry(member)
         answers = await self._read_for(caller, LAPSED_S)
         for member in members:
-            self.site.outside.register(member)
+            self.site.standins.register(member)
         answers += await self._read_for(caller, LAPSED_S)
         self.assertEqual({""}, {item.code for item in answers})
 
@@ -217,7 +217,7 @@
         await until(lambda: len(code_by_item) > 20)
         await fault()
         await until(
-            lambda: self.site.outside.primary_of("g1") != "g1-m1",
+            lambda: self.site.standins.primary_of("g1") != "g1-m1",
             "another primary",
         )
         seen = len(code_by_item)
@@ -252,7 +252,7 @@
             await sleep(0.01)
 
     def _check(self, code_by_item: dict[str, str]) -> None:
-        leader = self.site.outside.find(self.site.outside.primary_of("g1"))
+        leader = self.site.standins.find(self.site.standins.primary_of("g1"))
         kept = {item for entry in leader.log for item in entry.writes}
         for item, code in code_by_item.items():
             if code == "":
@@ -261,13 +261,13 @@
                 self.assertNotIn(item, kept, "refused, but kept")
 
     async def _silence_primary(self) -> None:
-        self.site.outside.find("g1-m1").is_unresponsive = True
+        self.site.standins.find("g1-m1").is_unresponsive = True
 
     async def _drain_primary(self) -> None:
-        self.site.outside.register("g1-m1", state="draining")
+        self.site.standins.register("g1-m1", state="draining")
 
     async def _partition_primary(self) -> None:
-        self.site.outside.find("g1-m1").is_cut_off = True
+        self.site.standins.find("g1-m1").is_cut_off = True
 
     async def _is_limited(self, caller: LineCaller) -> bool:
         return (await caller.run("READ r")).code == "BUSY"
--- a/redwingpost/node/tests/test_heartbeats.py
+++ b/redwingpost/node/tests/test_heartbeats.py
@@ -78,9 +78,9 @@
         first, announcer = tables[0]
         first.set_listed((VmAddress("vm-1", _IPS[1], port),))
         announcer.announce()
-        await wait_for(self._until_heard(tables), TIMEOUT_S)
+        await wait_for(self._until_exchanged(tables), TIMEOUT_S)
 
-    async def _until_heard(self, tables) -> None:
+    async def _until_exchanged(self, tables) -> None:
         now = MonotonicClock().now
         while not all(
             len(vms.fresh_heartbeats(now())) == 1 for vms, _ in tables
--- a/redwingpost/node/tests/test_homes.py
+++ b/redwingpost/node/tests/test_homes.py
@@ -12,7 +12,7 @@
 from redwingpost.membership.vm_table import VmTable
 from redwingpost.node.forwarding.homes import (
     CACHE_S,
-    HEARTBEAT_TIMEOUT_S,
+    HOME_TIMEOUT_S,
     SUSPECT_S,
     HomeView,
 )
@@ -102,7 +102,7 @@
     def test_all_vms_agree_on_the_homes(self) -> None:
         """Guards against a fleet in which every VM connects to members."""
         fleet = _Fleet(62)
-        for name, now in (("just started", 0.1), ("heard", 2.0)):
+        for name, now in (("just started", 0.1), ("with heartbeats", 2.0)):
             with self.subTest(name):
                 if now > 1.0:
                     fleet.exchange_heartbeats(now)
@@ -124,7 +124,7 @@
         fleet = _Fleet(62)
         gone = frozenset(list(fleet.homes(0.1))[:3])
         now = 0.0
-        while now < HEARTBEAT_TIMEOUT_S + 2 * CACHE_S:
+        while now < HOME_TIMEOUT_S + 2 * CACHE_S:
             now += 0.1
             fleet.exchange_heartbeats(now, silent=gone)
         left = fleet.homes(now) - gone
--- a/redwingpost/node/tests/test_normal_operation.py
+++ b/redwingpost/node/tests/test_normal_operation.py
@@ -61,10 +61,10 @@
         callers = [await self.node.caller("stated") for _ in range(6)]
         for _ in range(5):
             await gather(*(caller.run("READ c") for caller in callers))
-        outside = self.site.outside
+        standins = self.site.standins
         replicas = [
             server.member
-            for server in outside.server_by_member.values()
+            for server in standins.server_by_member.values()
             if not server.member.is_primary
         ]
         self.assertTrue(any(member.runs for member in replicas))
@@ -75,7 +75,7 @@
         for key in ("key-1", "key-3"):
             caller = await self.node.caller("own", key)
             await caller.run("READ d")
-        servers = self.site.outside.server_by_member.values()
+        servers = self.site.standins.server_by_member.values()
         named = {name for server in servers for name in server.organisations}
         self.assertLessEqual({"parish", "diocese"}, named)
         self.assertFalse([name for name in named if name.startswith("key")])
@@ -107,7 +107,7 @@
         self.assertEqual("", (await caller.run("READ f")).code)
         changed = configuration(2)
         changed["tenants"][0]["apiKeys"] = ["key-2"]
-        self.site.outside.configure(changed)
+        self.site.standins.configure(changed)
 
         async def is_refused() -> bool:
             return (await caller.run("READ f")).code == "AUTHFAIL"
--- a/redwingpost/node/tests/test_walks.py
+++ b/redwingpost/node/tests/test_walks.py
@@ -95,7 +95,7 @@
     async def _exceed_rate(self) -> str:
         changed = configuration(2)
         changed["tenants"][1].update(ratePerS=2, burst=4)
-        self.site.outside.configure(changed)
+        self.site.standins.configure(changed)
         node = self.site.nodes[0]
         caller = await node.caller("stated", "key-3")
         await until(lambda: self._is_in_force(2))
@@ -113,7 +113,7 @@
         return refused[-1]
 
     async def _get_unknown_outcome(self) -> str:
-        primary = self.site.outside.find("g1-m1")
+        primary = self.site.standins.find("g1-m1")
         node = self.site.nodes[0]
         first_caller = await node.caller("own")
         self.assertEqual("", (await first_caller.run("WRITE a 1")).code)
@@ -123,7 +123,7 @@
         self.assertEqual("INDOUBT", answer.code)
         primary.is_unresponsive = True
         await until(
-            lambda: self.site.outside.primary_of("g1") != "g1-m1",
+            lambda: self.site.standins.primary_of("g1") != "g1-m1",
             "another primary",
         )
         await until(
@@ -139,14 +139,14 @@
         scarce = configuration(2)
         # A third of six connections, less one for control, is one per node.
         scarce["services"][0]["maxConns"] = 4
-        self.site.outside.configure(scarce)
+        self.site.standins.configure(scarce)
         node = self.site.nodes[0]
         await until(lambda: self._is_in_force(2))
         callers = [await node.caller("own") for _ in range(6)]
         for number, caller in enumerate(callers):
             answer = await caller.run(f"WRITE warm-{number} 1")
             self.assertEqual("", answer.code)
-        server = self.site.outside.server_by_member["g1-m1"]
+        server = self.site.standins.server_by_member["g1-m1"]
         for _ in range(5):
             await server.slots.acquire()
         writes = [
