--- a/redwingpost/proxy/forwarder.py
+++ b/redwingpost/proxy/forwarder.py
@@ -46,7 +46,10 @@
 
 
 class ForwardOutcome(NamedTuple):
-    """A home's answer and the session's positions after it."""
+    """A home's answer and the session's positions after it.
+
+    ``whole``: see ``redwingpost.sessions.positions.SessionPositions``.
+    """
 
     answer: Result[StatementResult, Refusal | MemberError]
     in_transaction: bool
@@ -55,7 +58,10 @@
 
 
 class ForwardedCall(NamedTuple):
-    """A statement to forward, with the positions of its session."""
+    """A statement to forward, with the positions of its session.
+
+    ``whole``: see ``redwingpost.sessions.positions.SessionPositions``.
+    """
 
     marked: MarkedStatement
     statement_class: StatementKind
--- a/redwingpost/proxy/lending.py
+++ b/redwingpost/proxy/lending.py
@@ -56,8 +56,9 @@
 #: Name of the share that applies to every organisation.
 ALL_ORGANISATIONS = ""
 
-#: Multiple of its even part of the shortfall that each lender is asked
-#: for, so that a round covers it when half of them have no tokens.
+#: Factor by which the amount requested from each lender exceeds its even
+#: part of the shortfall, so that a round covers the shortfall when half of
+#: the lenders have no tokens.
 _OVERBORROW_FACTOR = 2
 
 
@@ -399,7 +400,7 @@
         peer = self._peers_by_vm.get(loan.lender)
         if peer is None:
             return
-        asked_at = self._clock.now()
+        requested_at = self._clock.now()
         answer = await self._clients.call(
             peer.address,
             lambda node: node.lending().lending.renew(
@@ -412,7 +413,7 @@
         key = (loan.lender, loan.loan)
         valid_s = answer.ok.validMs / 1000
         now = self._clock.now()
-        if not account.borrower.apply_renewal(key, valid_s, asked_at, now):
+        if not account.borrower.apply_renewal(key, valid_s, requested_at, now):
             self._give_back(account, [loan])
 
     def _give_back(self, account: Account, loans: list[Borrowed]) -> None:
--- a/redwingpost/proxy/replica_choice.py
+++ b/redwingpost/proxy/replica_choice.py
@@ -24,8 +24,8 @@
 #: Routing policy of the proxy; docs/design/routing.md compares them.
 DEFAULT_POLICY = "expected-time"
 
-#: Extra round trip to a member in another data centre (seconds): the
-#: distances of the sites are 0.5 and 1.5 ms one way.
+#: Extra round trip to a member in another data centre (seconds): the one-way
+#: latencies of the sites are 0.5 and 1.5 ms.
 _REMOTE_ROUND_TRIP_S = 0.002
 
 #: Seconds between checks whether a replica has caught up; the status
