--- a/redwingpost/agent/diverged.py
+++ b/redwingpost/agent/diverged.py
@@ -18,7 +18,7 @@
 from redwingpost.core import Position
 from redwingpost.ports import MemberStatus, TargetError, TargetLost
 
-#: Seconds between two queries of a member's list, and a query's time-out.
+#: Seconds between two queries of a member's list, and a query's timeout.
 CHECK_INTERVAL_S = 5.0
 CHECK_TIMEOUT_S = 2.0
 
--- a/redwingpost/agent/exchange.py
+++ b/redwingpost/agent/exchange.py
@@ -41,12 +41,12 @@
     select_recipients,
 )
 
-#: Time-out of one call of an exchange (seconds). A cut link delays a
+#: Timeout of one call of an exchange (seconds). A cut link delays a
 #: heartbeat by no more than this, and half a second is a hundred times
 #: the round trip between two data centres of one region.
 CALL_TIMEOUT_S = 0.5
 
-#: Time-out of a call that carries a whole configuration (seconds), which
+#: Timeout of a call that carries a whole configuration (seconds), which
 #: may take longer than a heartbeat.
 BODY_CALL_TIMEOUT_S = 2.0
 
--- a/redwingpost/agent/probe.py
+++ b/redwingpost/agent/probe.py
@@ -18,12 +18,12 @@
     leads,
 )
 
-#: Time-out of a probe (seconds). A member that takes longer counts as
+#: Timeout of a probe (seconds). A member that takes longer counts as
 #: silent by every rule of ``redwingpost.promotion.detection``.
 PROBE_TIMEOUT_S = 1.0
 
 #: Concurrent probes: the ordinary one, one on a new connection, and a
-#: third while the first two wait for their time-outs.
+#: third while the first two wait for their timeouts.
 _MAX_PROBES = 3
 
 
--- a/redwingpost/agent/promoter.py
+++ b/redwingpost/agent/promoter.py
@@ -37,7 +37,7 @@
 )
 from redwingpost.wire.codec import from_age_ms
 
-#: Time-out of another observer's report (seconds). An observer that takes
+#: Timeout of another observer's report (seconds). An observer that takes
 #: longer is unreachable or overloaded, and its report is left out.
 REPORT_TIMEOUT_S = 0.25
 
--- a/redwingpost/agent/promotion_runner.py
+++ b/redwingpost/agent/promotion_runner.py
@@ -27,11 +27,11 @@
     step,
 )
 
-#: Time-out (seconds) of one claim and of one order to follow. The
+#: Timeout (seconds) of one claim and of one order to follow. The
 #: election's own timers are shorter or end the election.
 CONTROL_TIMEOUT_S = 1.0
 
-#: Time-out (seconds) of a promotion; the election's timer expires first.
+#: Timeout (seconds) of a promotion; the election's timer expires first.
 PROMOTE_TIMEOUT_S = 12.0
 
 
--- a/redwingpost/agent/state.py
+++ b/redwingpost/agent/state.py
@@ -186,7 +186,7 @@
             self._mark_changed("shares")
 
     def drain(self) -> None:
-        """Tell the VM's proxy to drain."""
+        """Make the VM's proxy drain."""
         self.draining = True
         self.renew_own_beat()
         self._mark_changed("draining")
--- a/redwingpost/agent/tests/test_shares.py
+++ b/redwingpost/agent/tests/test_shares.py
@@ -20,7 +20,7 @@
 
 
 class _Store:
-    """A one-row store; during an outage each call takes its time-out."""
+    """A one-row store; during an outage each call takes its timeout."""
 
     def __init__(self, clock):
         self.clock = clock
