--- a/redwingpost/adapters/http_client.py
+++ b/redwingpost/adapters/http_client.py
@@ -40,18 +40,18 @@
 
 #: TCP keep-alive: an idle connection is probed after this many seconds,
 #: at this interval (seconds), and ends after this many unanswered probes.
-#: Otherwise a broken connection could not be told from an idle one.
+#: Otherwise a broken connection could not be distinguished from an idle one.
 _KEEPALIVE_IDLE_S = 3
 _KEEPALIVE_INTERVAL_S = 1
 _KEEPALIVE_PROBES = 2
 
-#: Time-out for opening a connection (seconds). TCP resends packets that a
+#: Timeout for opening a connection (seconds). TCP resends packets that a
 #: cut dropped after 1, 3 and 7 s, so that a new attempt connects sooner
 #: once the cut has ended.
 CONNECT_TIMEOUT_S = 1.0
 
 #: Seconds for which an idle pooled connection is reused. If it broke
-#: meanwhile, a call on it waits for its whole time-out; a new connection
+#: meanwhile, a call on it waits for its whole timeout; a new connection
 #: costs one round trip.
 MAX_IDLE_S = 1.0
 
--- a/redwingpost/adapters/link_rules.py
+++ b/redwingpost/adapters/link_rules.py
@@ -11,7 +11,7 @@
 
 from redwingpost.core import Code, Refusal
 
-#: TCP resends a lost segment after the retransmission time-out, at least
+#: TCP resends a lost segment after the retransmission timeout, at least
 #: 200 ms in common stacks (RTO_MIN), so loss is simulated as a stall.
 RETRANSMISSION_S = 0.2
 
--- a/redwingpost/adapters/mysql_guards.py
+++ b/redwingpost/adapters/mysql_guards.py
@@ -55,7 +55,7 @@
 
 
 def _skip_length_encoded(data: bytes, offset: int) -> int:
-    """Return the offset behind a length-encoded string."""
+    """Return the offset after a length-encoded string."""
     if offset >= len(data):
         return len(data) + 1
     following = _FOLLOWING_BY_MARK.get(data[offset], 0)
--- a/redwingpost/adapters/mysql_stream.py
+++ b/redwingpost/adapters/mysql_stream.py
@@ -8,7 +8,7 @@
 
 from redwingpost.adapters.mysql_guards import is_complete_handshake
 
-#: Time-out of the handshake (seconds). Without it a scanner that connects
+#: Timeout of the handshake (seconds). Without it a scanner that connects
 #: and sends nothing would hold a connection for ever.
 HANDSHAKE_TIMEOUT_S = 10.0
 
--- a/redwingpost/adapters/mysql_target.py
+++ b/redwingpost/adapters/mysql_target.py
@@ -200,7 +200,7 @@
     async def claim(
         self, term: int, claimant: str, timeout: float
     ) -> ClaimAnswer:
-        """Ask the member to promise ``term`` to ``claimant``."""
+        """Request the member's promise of ``term`` to ``claimant``."""
         answer = await self.execute(
             f"REDWING CLAIM {term} {claimant}", timeout
         )
--- a/redwingpost/adapters/peer.py
+++ b/redwingpost/adapters/peer.py
@@ -256,12 +256,12 @@
             Takes the peer's ``Node`` and returns the promise of a call:
             ``lambda node: node.fleet().fleet.beat(...)``.
         timeout : float
-            Time-out of the call (seconds), including dialling.
+            Timeout of the call (seconds), including dialling.
 
         Returns
         -------
         Result
-            The answer, or ``Code.PEER_REFUSED``. After a time-out the
+            The answer, or ``Code.PEER_REFUSED``. After a timeout the
             peer may or may not have run the call.
         """
         peer = self._peers_by_address.setdefault(address, _Peer())
--- a/redwingpost/adapters/platform_http.py
+++ b/redwingpost/adapters/platform_http.py
@@ -35,8 +35,8 @@
 )
 from redwingpost.settings import PlatformSettings
 
-#: Share of the whole time-out that connecting may take. It must expire
-#: first; otherwise a time-out while connecting would count as sent.
+#: Share of the whole timeout that connecting may take. It must expire
+#: first; otherwise a timeout while connecting would count as sent.
 CONNECT_TIMEOUT_SHARE = 0.5
 
 #: Rows per page of a scan; only the last page has fewer.
@@ -57,7 +57,7 @@
     Parameters
     ----------
     settings : PlatformSettings
-        The platform's URL and the time-out of calls.
+        The platform's URL and the timeout of calls.
     local_ip : str
         Source address of connections; empty for any.
     """
--- a/redwingpost/adapters/tests/test_http_client.py
+++ b/redwingpost/adapters/tests/test_http_client.py
@@ -74,7 +74,7 @@
     async def test_a_connection_that_broke_while_idle(self) -> None:
         """A connection silently breaks while it is idle.
 
-        The next call on it would wait for its whole time-out; if it
+        The next call on it would wait for its whole timeout; if it
         claims the duty of replacing a primary, writers wait as long.
         """
         for _ in range(2):
--- a/redwingpost/adapters/tests/test_peer.py
+++ b/redwingpost/adapters/tests/test_peer.py
@@ -92,7 +92,7 @@
 
     @in_kj_loop
     async def test_a_call_is_given_up_at_its_deadline(self):
-        # A peer is paused by its hypervisor. Without a time-out the
+        # A peer is paused by its hypervisor. Without a timeout the
         # caller's heartbeats would wait for it, and the caller would
         # miss those of all other VMs.
         server = await serve()
