--- a/redwingpost/wire/node.capnp
+++ b/redwingpost/wire/node.capnp
@@ -135,7 +135,8 @@
 
 struct ForwardedStatement {
   # sql may hold bytes that are not UTF-8; marks is a MessagePack map of
-  # texts, in the form of query attributes.
+  # texts, in the form of query attributes. whole is set if the session never
+  # used the groups that positions doesn't list.
   sql @0 :Data;
   marks @1 :Data;
   autocommit @2 :Bool;
