--- a/redwingpost/cli/node.py
+++ b/redwingpost/cli/node.py
@@ -47,14 +47,14 @@
 
 async def _serve(settings: NodeSettings, path: Path) -> None:
     clock = MonotonicClock()
-    outside = NodePorts(
+    node_ports = NodePorts(
         RowStore(settings.store.ip, settings.store.port, clock),
         LineLinkFactory(),
         HttpPromotionOrders(settings.orders.ip, settings.orders.port, clock),
         FORMAT,
         clock,
     )
-    node = Node(settings, outside)
+    node = Node(settings, node_ports)
     callers = CallerServer(settings.callers.ip, settings.callers.port, node)
     node.callers = callers
     stop = Event()
--- a/redwingpost/cli/tests/test_ctl.py
+++ b/redwingpost/cli/tests/test_ctl.py
@@ -83,7 +83,7 @@
             self.url = platform.url
             for number in (1, 2):
                 await self._start_agent(number, platform)
-            while not all(map(self._has_met, self.agents)):
+            while not all(map(self._knows_both_vms, self.agents)):
                 await sleep(0.01)
             self._ready.set()
             await self._done.wait()
@@ -104,7 +104,7 @@
         listed = ListedVm(vm.name, vm.data_centre, vm.ip, agent.server.port, 0)
         platform.vms.put(listed, now=0.0)
 
-    def _has_met(self, agent: Agent) -> bool:
+    def _knows_both_vms(self, agent: Agent) -> bool:
         return len(known_live_vms(agent)) == 2
 
     @property
