--- a/redwingpost/verify/member.py
+++ b/redwingpost/verify/member.py
@@ -11,7 +11,28 @@
 
 
 class Rules(NamedTuple):
-    """Rules in force; each one that is False makes a broken variant."""
+    """Rules in force; each one that is False makes a broken variant.
+
+    Attributes
+    ----------
+    confirm : bool
+        A write is acknowledged only once replicas have confirmed it.
+    confirm_term : bool
+        A replica's answer is compared by term and index, not by index alone.
+    fence : bool
+        A primary that has promised a later term takes no more writes.
+    dedupe : bool
+        A write whose key the primary has recorded doesn't run again.
+    majority : bool
+        An election needs a majority of all members, not of those reached.
+    most_advanced : bool
+        The member with the most advanced log is promoted.
+    retry_table : bool
+        ``redwingpost.retries.table`` decides whether a write is sent again.
+    confirm_history : bool
+        A later primary's history decides a write's outcome only once
+        replicas have confirmed that term's first position.
+    """
 
     confirm: bool = True
     confirm_term: bool = True
@@ -20,7 +41,7 @@
     majority: bool = True
     most_advanced: bool = True
     retry_table: bool = True
-    confirm_fate: bool = True
+    confirm_history: bool = True
 
 
 class Entry(NamedTuple):
--- a/redwingpost/verify/model.py
+++ b/redwingpost/verify/model.py
@@ -313,7 +313,7 @@
                 continue
             yield from self._reply_steps(state, index, writer)
             yield from self._confirm_steps(state, index, writer)
-            yield from self._fate_steps(state, index, writer)
+            yield from self._outcome_steps(state, index, writer)
             failure = Failure.NO_ANSWER
             if writer.position is not None:
                 failure = Failure.NOT_CONFIRMED
@@ -401,17 +401,17 @@
             answers = writer.answers | {answer}
             if len(answers) > 1 + replicas_needed(len(state.members)):
                 continue
-            asked = writer._replace(answers=answers)
+            updated = writer._replace(answers=answers)
             name = f"{member.name} answers {writer.name}'s wait"
-            yield name, _with_writer(state, index, asked)
+            yield name, _with_writer(state, index, updated)
         if self._has_enough_answers(state, writer):
             yield (
                 f"{writer.name} acknowledges",
                 self._acknowledge(state, index, writer),
             )
 
-    def _fate_steps(self, state, index, writer) -> Steps:
-        """Decide a write's fate by the history of a later term's primary."""
+    def _outcome_steps(self, state, index, writer) -> Steps:
+        """Resolve a write's outcome by a later primary's history."""
         if writer.position is None:
             return
         for member in state.members:
@@ -420,12 +420,12 @@
                 continue
             history = history_of(member)
             confirmed = self._confirmed_start(state, member, history[-1])
-            fate = resolve_write(writer.position, history, confirmed)
-            name = f"{writer.name} learns from {member.name}: {fate.name}"
-            if fate is WriteOutcome.SURVIVED:
+            outcome = resolve_write(writer.position, history, confirmed)
+            name = f"{writer.name} learns from {member.name}: {outcome.name}"
+            if outcome is WriteOutcome.SURVIVED:
                 term = member.own_term
                 yield name, self._acknowledge(state, index, writer, term)
-            if fate is WriteOutcome.DROPPED:
+            if outcome is WriteOutcome.DROPPED:
                 # The proxy now knows this term, so that an older primary,
                 # which still holds the dropped write, gets no retry.
                 informed = writer._replace(known_term=member.own_term)
@@ -446,7 +446,7 @@
             )
         ]
         needed = replicas_needed(len(state.members))
-        if len(holders) >= needed or not self.rules.confirm_fate:
+        if len(holders) >= needed or not self.rules.confirm_history:
             return first
         return Position(0, 0)
 
--- a/redwingpost/verify/takeover.py
+++ b/redwingpost/verify/takeover.py
@@ -274,7 +274,7 @@
     def _needs_confirmation(
         self, state: TakeoverState, primary: Member
     ) -> bool:
-        """Return whether a writer's VM has signs of a takeover under way.
+        """Return whether a writer's VM has signs of a takeover in progress.
 
         VMs report to each other which primaries they can't reach.
         """
--- a/redwingpost/verify/takeover_state.py
+++ b/redwingpost/verify/takeover_state.py
@@ -25,13 +25,14 @@
         A gone member leaves the roster only once the remaining members hold
         the primary's log.
     counts_unlisted : bool
-        A member that the registry no longer lists counts until then.
+        A member that the registry no longer lists counts as long as it is
+        on the roster.
     stops_first : bool
         An old primary that answers is stopped before the order.
     repeats_pause : bool
         The pauses are confirmed immediately before the order.
     confirms_commits : bool
-        While a takeover may be under way, replicas must confirm a commit
+        While a takeover may be in progress, replicas must confirm a commit
         before it is acknowledged to its writer.
     asks_primary : bool
         The member that served a read must report, after the read began,
@@ -63,7 +64,8 @@
     may_return : bool
         A crashed member may be unlisted and return with its log.
     may_partition : bool
-        Members may be partitioned from the others together.
+        The first primary may be partitioned from the others, alone or with
+        one replica.
     may_be_hidden : bool
         The coordinator may be unable to reach a primary that its replicas
         reach.
@@ -141,7 +143,7 @@
 
 
 class Coordinator(NamedTuple):
-    """A takeover under way; ``old`` and ``chosen`` are members' numbers.
+    """A takeover in progress; ``old`` and ``chosen`` are members' numbers.
 
     ``old`` is the primary to replace, None if there is none.
     """
--- a/redwingpost/verify/tests/test_search.py
+++ b/redwingpost/verify/tests/test_search.py
@@ -63,8 +63,8 @@
 class FateTest(TestCase):
     """A write committed on a replaced primary; then a second promotion.
 
-    The new term's history decides the write's fate. Decided too early, the
-    write counts as dropped and is retried while the old primary's log may
+    The new term's history decides the write's outcome. Decided too early,
+    the write counts as dropped and is retried while the old primary's log may
     still be restored, or counts as stored and is dropped later.
     """
 
@@ -80,7 +80,7 @@
         self.assertEqual(found.violation, "", found.trace)
 
     def test_unconfirmed_history_is_noticed(self):
-        found = self.check(Rules(confirm_fate=False), 60_000)
+        found = self.check(Rules(confirm_history=False), 60_000)
         self.assertTrue(found.violation)
 
 
--- a/redwingpost/verify/tests/test_takeover.py
+++ b/redwingpost/verify/tests/test_takeover.py
@@ -22,7 +22,7 @@
 _READ_LIMIT = 300_000
 
 #: Rules without the confirmation of commits and of primaries, which are
-#: requested only while a takeover may be under way. Otherwise the other
+#: requested only while a takeover may be in progress. Otherwise the other
 #: rules must be sufficient.
 _WITHOUT_CONFIRMATIONS = TakeoverRules(
     confirms_commits=False, asks_primary=False
@@ -195,7 +195,7 @@
 
     def test_each_guard_against_silent_members_is_needed(self) -> None:
         returns = {"may_vanish": True, "may_return": True}
-        out_of_reach = {
+        unreachable = {
             "restarts": 1,
             "may_be_hidden": True,
             "no_restart_after_order": True,
@@ -205,7 +205,7 @@
             ("counts_unlisted", returns, True),
             ("stops_first", {"restarts": 1}, True),
             # Without the confirmation of commits, which would hide it.
-            ("repeats_pause", out_of_reach, False),
+            ("repeats_pause", unreachable, False),
         )
         for guard, faults, confirms in cases:
             with self.subTest(guard, **faults):
