--- a/redwingpost/node/member.py
+++ b/redwingpost/node/member.py
@@ -71,7 +71,7 @@
     """The member refused a connection or a set-up step."""
 
     def __init__(self, failure: MemberFailure) -> None:
-        super().__init__(failure.word)
+        super().__init__(failure.keyword)
         self.failure = failure
 
 
@@ -350,7 +350,7 @@
                 "connection-refused",
                 member=self.entry.member,
                 organisation=organisation,
-                word=opened.word,
+                word=opened.keyword,
             )
             if opened.kind is FailureKind.TOO_MANY_CONNECTIONS:
                 # A member at its connection limit is alive. If it counted
--- a/redwingpost/node/request/attempt.py
+++ b/redwingpost/node/request/attempt.py
@@ -135,7 +135,7 @@
     except NoConnectionFree:
         return NotSent("no connection came free")
     except MemberRefused as refused:
-        return NotSent(refused.failure.word)
+        return NotSent(refused.failure.keyword)
     except LinkLost as lost:
         return NotSent(lost.detail)
     finally:
--- a/redwingpost/node/request/session.py
+++ b/redwingpost/node/request/session.py
@@ -140,7 +140,7 @@
                 )
             return
         is_refusal = isinstance(result, Refusal)
-        code = result.code.name if is_refusal else result.word
+        code = result.code.name if is_refusal else result.keyword
         self.services.metrics.note(statement.kind.value, code, seconds)
         if code != Code.OVER_RATE.name:
             # Admission has logged that decision with its inputs.
--- a/redwingpost/platform/lines.py
+++ b/redwingpost/platform/lines.py
@@ -202,7 +202,7 @@
     ['ERROR', 'BUSY']
     """
     if isinstance(error, MemberFailure):
-        return f"ERROR {error.word} {error.detail or EMPTY_FIELD}"
+        return f"ERROR {error.keyword} {error.detail or EMPTY_FIELD}"
     keyword = _KEYWORD_BY_CODE.get(error.code.name)
     if keyword is None:
         keyword = _KEYWORD_BY_OUTCOME[error.code.outcome]
--- a/redwingpost/ports/database.py
+++ b/redwingpost/ports/database.py
@@ -41,10 +41,10 @@
 
 
 class MemberFailure(NamedTuple):
-    """A member's refusal or error; ``word`` is the error code it sent."""
+    """A member's refusal or error; ``keyword`` is the error code it sent."""
 
     kind: FailureKind
-    word: str
+    keyword: str
     detail: str = ""
 
     @classmethod
--- a/redwingpost/ports/target.py
+++ b/redwingpost/ports/target.py
@@ -39,7 +39,9 @@
     """A member's answer to ``REDWING STATUS``.
 
     ``received`` counts transactions that are durable in the member's
-    relay log, ``applied`` those that a read on it sees.
+    relay log, ``applied`` those that a read on it sees. ``follows`` is the
+    primary that it replicates; ``age_ms`` is the age of the state that a
+    read on it sees (milliseconds).
     """
 
     member: str
--- a/redwingpost/wire/work.py
+++ b/redwingpost/wire/work.py
@@ -188,7 +188,7 @@
     elif isinstance(result, MemberFailure):
         failure = body.init("failure")
         failure.kind = result.kind.value
-        failure.word = result.word
+        failure.word = result.keyword
         failure.detail = result.detail
     else:
         refusal = body.init("refusal")
