--- a/redwingpost/bench/balancer.py
+++ b/redwingpost/bench/balancer.py
@@ -66,7 +66,7 @@
         previous_vm: str,
         switch_probability: float,
     ) -> ProxyEndpoint:
-        """Pick a proxy for a session's next request.
+        """Choose a proxy for a session's next request.
 
         Parameters
         ----------
--- a/redwingpost/bench/callers.py
+++ b/redwingpost/bench/callers.py
@@ -1,6 +1,6 @@
 """Caller sessions: connections to proxies, session tokens, moves.
 
-A session stands for one user at work. It sends one request at a time,
+A session represents one user. It sends one request at a time,
 keeps connections to the proxies that it used last, and passes its
 session token on when it moves to another proxy.
 """
@@ -38,17 +38,17 @@
 #: loop creates thousands of sessions.
 MAX_CONNECTIONS_PER_SESSION = 2
 
-#: Client-side error numbers of MySQL drivers: connection refused, gone
-#: or lost.
+#: Client-side error numbers of MySQL drivers: connection refused, and
+#: the range of all client-side errors.
 CONNECT_FAILED = 2003
 CLIENT_ERRORS = range(2000, 3000)
 
-#: Refusals that ask the caller to reconnect through another proxy.
+#: Refusals after which the caller reconnects through another proxy.
 RECONNECT_CODES = frozenset({Code.DRAINING.number, Code.STARTING.number})
 
 
 class ProxyEndpoint(NamedTuple):
-    """Where a VM's proxy serves callers and health checks."""
+    """The address and ports of a VM's proxy."""
 
     vm: str
     ip: str
@@ -74,11 +74,11 @@
 
 
 class Request(NamedTuple):
-    """A request for a session to send."""
+    """An operation, its statements' values and its marks."""
 
     operation: Operation
     kind: str
-    target: StatementValues
+    values: StatementValues
     max_staleness_ms: int = 0
 
 
@@ -156,12 +156,12 @@
         marks = render_marks(
             request.kind,
             request.operation,
-            request.target.request,
+            request.values.request,
             request.max_staleness_ms,
             self._token,
         )
         cursor = connection.cursor()
-        for statement in render(request.operation, request.target):
+        for statement in render(request.operation, request.values):
             await cursor.execute(marks + statement)
         if not cursor.description:
             return None
--- a/redwingpost/bench/checks/reads.py
+++ b/redwingpost/bench/checks/reads.py
@@ -59,8 +59,8 @@
 def check_monotone_reads(run: Run) -> Iterator[str]:
     """A session never reads an older revision than it has read before.
 
-    The refusal "position lost" tells the caller that its session starts
-    anew: reads before it don't bind later ones.
+    The refusal "position lost" means that the session starts again:
+    earlier reads then set no lower limit for later ones.
     """
     resets_by_session = {}
     for attempt in run.attempts:
--- a/redwingpost/bench/fleet.py
+++ b/redwingpost/bench/fleet.py
@@ -267,12 +267,12 @@
             for name, status in statuses.items()
             if status["role"] == "primary" and status["alive"]
         }
-        leading = [
+        primaries = [
             (terms_by_member[member.name], member)
             for member in self.layout.members_by_group[group]
             if member.name in terms_by_member
         ]
-        return max(leading)[1] if leading else None
+        return max(primaries)[1] if primaries else None
 
     async def read_contents(self, group: str) -> Contents:
         """Read a group's final contents from its primary.
--- a/redwingpost/bench/fleet_cost.py
+++ b/redwingpost/bench/fleet_cost.py
@@ -54,7 +54,7 @@
 
 
 class Cost(NamedTuple):
-    """Results of a run; rates are per agent.
+    """The cost of a run; rates are per agent.
 
     ``bytes_per_s`` counts bytes sent and received; ``relay_bytes_per_s``
     is the mean over relays, ``plain_bytes_per_s`` over the other VMs.
@@ -131,7 +131,7 @@
         self._body_bytes = 0
         self._slowest_s = 0.0
 
-    async def measure(self, seconds: float, change_every: float) -> Cost:
+    async def measure(self, seconds: float, interval_s: float) -> Cost:
         """Start the fleet, wait until it has converged, and measure."""
         await self._submit()
         for number in range(self._count):
@@ -139,7 +139,7 @@
         await self._settle()
         bytes_before, exchanges_before = self._bytes_by_ip(), self._exchanges()
         cpu_s, started_at = process_time(), monotonic()
-        changes = await self._run_changes(seconds, change_every)
+        changes = await self._run_changes(seconds, interval_s)
         elapsed_s = monotonic() - started_at
         cost = self._make_cost(
             bytes_before, exchanges_before, process_time() - cpu_s, elapsed_s
@@ -169,9 +169,9 @@
 
     def _has_converged(self, agent: Agent) -> bool:
         members = agent.context.state.members.by_vm.values()
-        heard_count = sum(member.beat.incarnation > 0 for member in members)
-        held_version = agent.context.state.configuration.version
-        return heard_count == self._count and held_version == self._version
+        known_count = sum(member.beat.incarnation > 0 for member in members)
+        version = agent.context.state.configuration.version
+        return known_count == self._count and version == self._version
 
     async def _run_changes(self, seconds: float, interval_s: float) -> int:
         ends_at = monotonic() + seconds
@@ -215,11 +215,11 @@
         )
 
     def _bytes_by_ip(self) -> dict[str, int]:
-        carried_by_ip: dict[str, int] = {}
-        for (own, _), carried in read_connections():
-            total = carried.sent + carried.received
-            carried_by_ip[own.ip] = carried_by_ip.get(own.ip, 0) + total
-        return carried_by_ip
+        bytes_by_ip: dict[str, int] = {}
+        for (local, _), traffic in read_connections():
+            total = traffic.sent + traffic.received
+            bytes_by_ip[local.ip] = bytes_by_ip.get(local.ip, 0) + total
+        return bytes_by_ip
 
     def _make_cost(
         self,
@@ -228,9 +228,9 @@
         cpu_s: float,
         elapsed_s: float,
     ) -> Cost:
-        after = self._bytes_by_ip()
-        carried_bytes_by_ip = {
-            agent.settings.vm.ip: after.get(agent.settings.vm.ip, 0)
+        bytes_after = self._bytes_by_ip()
+        moved_bytes_by_ip = {
+            agent.settings.vm.ip: bytes_after.get(agent.settings.vm.ip, 0)
             - bytes_before.get(agent.settings.vm.ip, 0)
             for agent in self._agents
         }
@@ -239,8 +239,8 @@
             for agent in self._agents
             if agent.context.state.is_relay
         }
-        rates = {
-            ip: total / elapsed_s for ip, total in carried_bytes_by_ip.items()
+        bytes_per_s_by_ip = {
+            ip: total / elapsed_s for ip, total in moved_bytes_by_ip.items()
         }
         exchanges = self._exchanges() - exchanges_before
         return Cost(
@@ -249,10 +249,12 @@
             seconds=round(elapsed_s, 1),
             changes=0,
             body_bytes=self._body_bytes,
-            bytes_per_s=_mean(rates.values()),
-            relay_bytes_per_s=_mean(rates[ip] for ip in relays),
+            bytes_per_s=_mean(bytes_per_s_by_ip.values()),
+            relay_bytes_per_s=_mean(bytes_per_s_by_ip[ip] for ip in relays),
             plain_bytes_per_s=_mean(
-                rate for ip, rate in rates.items() if ip not in relays
+                rate
+                for ip, rate in bytes_per_s_by_ip.items()
+                if ip not in relays
             ),
             core_share=round(cpu_s / elapsed_s / self._count, 5),
             exchanges_per_s=round(exchanges / elapsed_s / self._count, 2),
@@ -267,14 +269,14 @@
     return round(sum(listed) / len(listed), 1) if listed else 0.0
 
 
-def measure(fleet: CostRun, seconds: float, interval_s: float) -> Cost:
-    """Run one fleet and return its cost."""
+def measure(cost_run: CostRun, seconds: float, interval_s: float) -> Cost:
+    """Run one fleet, with a change each ``interval_s``; return its cost."""
 
-    async def work() -> Cost:
+    async def measure_in_loop() -> Cost:
         async with kj_loop():
-            return await fleet.measure(seconds, interval_s)
+            return await cost_run.measure(seconds, interval_s)
 
-    return run(work())
+    return run(measure_in_loop())
 
 
 @app.command()
--- a/redwingpost/bench/history.py
+++ b/redwingpost/bench/history.py
@@ -49,7 +49,7 @@
 
 
 class AttemptResult(Enum):
-    """How an attempt ended for its caller."""
+    """Whether a caller got an answer, a refusal or neither."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
@@ -149,7 +149,7 @@
 
 
 def reported_not_run(attempt: Attempt) -> bool:
-    """Tell whether the attempt's error means that nothing was stored."""
+    """Return whether the attempt's error means that nothing was stored."""
     if attempt.verdict is not AttemptResult.REFUSED:
         return False
     code = CODES_BY_NUMBER.get(attempt.code)
@@ -158,8 +158,8 @@
     return code.outcome in _NOT_RUN_OUTCOMES
 
 
-#: Characters of padding in a body, enough to detect a truncated answer.
-_PADDING = 64
+#: Characters of padding in a body, to detect truncated answers.
+_PADDING_CHARS = 64
 
 
 def make_body(request: str, revision: int) -> str:
@@ -175,11 +175,11 @@
     """
     header = f"{revision:08d}|{request}|"
     digest = f"{crc32(header.encode()):08x}"
-    return header + digest * (_PADDING // len(digest))
+    return header + digest * (_PADDING_CHARS // len(digest))
 
 
 def is_whole(body: str) -> bool:
-    """Tell whether a body is a complete one of :func:`make_body`."""
+    """Return whether a body is a complete one of :func:`make_body`."""
     parts = body.split("|")
     if len(parts) != 3 or not parts[0].isdigit():
         return False
--- a/redwingpost/bench/hotpath.py
+++ b/redwingpost/bench/hotpath.py
@@ -5,8 +5,8 @@
 is the proxy's own, from ``/proc``, so the figures are valid even where
 the clients are the bottleneck.
 
-Run it by ``python -m redwingpost.bench.hotpath``; nothing else should
-load the machine meanwhile.
+Run it by ``python -m redwingpost.bench.hotpath`` on an otherwise idle
+computer.
 """
 
 from asyncio import gather, run, sleep
@@ -33,16 +33,19 @@
 #: Rate and burst that no run reaches, so that admission refuses nothing.
 UNLIMITED_RATE = 1_000_000.0
 
-#: Seconds of each measurement, and of the wait before memory is read.
+#: Length of each measurement, in seconds.
 MEASUREMENT_S = 4.0
+
+#: Wait before memory is read, in seconds.
 SETTLE_S = 2.0
 
-#: Connections opened at a time; more would queue at the handshake.
+#: Connections opened at a time; a larger batch would queue for handshakes.
 DIAL_BATCH_SIZE = 64
 
 #: Connections that send statements while the others are idle.
 ACTIVE_CONNECTIONS = 10
 
+#: Timeout until the proxy answers a statement, in seconds.
 START_TIMEOUT_S = 20.0
 READ_SQL = "SELECT name FROM plans WHERE id = 7"
 
@@ -125,7 +128,7 @@
     def proxy_rss_kb(self) -> int:
         """Return the proxy's resident memory, kB."""
         text = Path(f"/proc/{self.proxy.pid}/status").read_text()
-        line = next(x for x in text.splitlines() if x.startswith("VmRSS"))
+        line = next(s for s in text.splitlines() if s.startswith("VmRSS"))
         return int(line.split()[1])
 
     async def _connect_when_ready(self) -> Connection:
@@ -188,16 +191,16 @@
         return {
             "connections": 64,
             "members": {
-                f"m-{place}" if number == 1 else f"g{number}-{place}": {
-                    "data_centre": f"dc-{place + 1}",
+                f"m-{index}" if number == 1 else f"g{number}-{index}": {
+                    "data_centre": f"dc-{index + 1}",
                     "ip": (
                         ip
                         if number == 1
-                        else f"127.{place + 1}.{number % 250}.250"
+                        else f"127.{index + 1}.{number % 250}.250"
                     ),
                     "port": port + number // 250,
                 }
-                for place, ip in enumerate(MEMBER_IPS)
+                for index, ip in enumerate(MEMBER_IPS)
             },
         }
 
--- a/redwingpost/bench/load.py
+++ b/redwingpost/bench/load.py
@@ -23,20 +23,23 @@
 #: Probability that a session moves to another proxy before a request.
 SWITCH_PROBABILITY = 0.15
 
-#: Attempts of a request with an idempotency key and unknown outcome.
+#: Maximum attempts of a request with an idempotency key and an unknown
+#: outcome.
 MAX_KEYED_ATTEMPTS = 3
 
-#: Attempts of a request that was not run and may use another proxy.
+#: Maximum attempts of a request that was not run and may use another
+#: proxy.
 MAX_RECONNECT_ATTEMPTS = 4
 
 #: Seconds a caller waits before it retries after an unknown outcome.
 RETRY_DELAY_S = 0.3
 
+#: Error numbers of refusals whose outcome is unknown.
 _UNKNOWN_OUTCOME_CODES = frozenset({20303, 20304, 20306, 20308})
 
 
 class ServedAnswer(NamedTuple):
-    """Which member answered a read or a long job."""
+    """The member that answered a read or a long job, and when."""
 
     group: str
     member: str
@@ -150,13 +153,13 @@
             shared = (arrival.organisation, arrival.group, document)
             self._revisions_by_shared_document[shared] += 1
             revision = self._revisions_by_shared_document[shared]
-        target = StatementValues(
+        values = StatementValues(
             arrival.request, arrival.organisation, document, revision
         )
         return Request(
             operation,
             arrival.entry.kind,
-            target,
+            values,
             arrival.entry.max_staleness_ms,
         )
 
@@ -183,8 +186,8 @@
                 proxy=proxy.vm,
                 operation=request.operation,
                 kind=request.kind,
-                document=request.target.document,
-                revision=request.target.revision,
+                document=request.values.document,
+                revision=request.values.revision,
                 max_staleness_ms=request.max_staleness_ms,
                 due_at=self.started_at + arrival.due_s,
                 sent_at=sent_at,
@@ -214,8 +217,9 @@
 def _should_retry(operation: Operation, outcome: Outcome, number: int) -> bool:
     """Return whether a caller retries its request.
 
-    A proxy that refuses connections or asks the caller to reconnect has
-    not run the request, so any request may go to another proxy. After
+    A proxy that refuses connections, or refuses with a code of
+    ``RECONNECT_CODES``, has not run the request, so any request may go
+    to another proxy. After
     an unknown outcome only a request with an idempotency key is retried.
     """
     if outcome.verdict is AttemptResult.ANSWERED:
--- a/redwingpost/bench/measures.py
+++ b/redwingpost/bench/measures.py
@@ -1,7 +1,7 @@
 """The measures of a run, as written by ``--json``.
 
 Rates, refusals and latencies are computed from what callers received.
-What callers can't see (which member served a read, processor time,
+What callers don't receive (which member served a read, processor time,
 control bytes) is counted outside the proxies and passed as `Counts`.
 """
 
@@ -105,7 +105,7 @@
     return min(acknowledged) - lost_at if acknowledged else None
 
 
-def _under_valid_keys(run: Run) -> tuple[Attempt, ...]:
+def _attempts_with_valid_keys(run: Run) -> tuple[Attempt, ...]:
     """Return the attempts whose key was valid throughout the run.
 
     Refusing a withdrawn key is correct and no wrongful refusal.
@@ -120,7 +120,7 @@
 def withdrawal_in_force(run: Run) -> float | None:
     """Return seconds until all proxies refused the withdrawn keys.
 
-    Counted from the acceptance of a withdrawal to the sending of the
+    The time runs from the acceptance of a withdrawal to the sending of the
     last request that was answered; None if no key was withdrawn.
     """
     if not run.withdrawn_at:
@@ -166,7 +166,7 @@
     return round(part / whole, 4) if whole else None
 
 
-def _per(amount: float | None, units: float) -> float | None:
+def _divide(amount: float | None, units: float) -> float | None:
     if amount is None or not units:
         return None
     return round(amount / units, 4)
@@ -197,7 +197,7 @@
     run : Run
         The history with the targets' final contents.
     violations : list of Violation
-        The oracle's findings.
+        The violations that the oracle found.
     counts : Counts
         Counts that the history lacks.
 
@@ -206,7 +206,7 @@
     Measures
         Ready to be written as JSON.
     """
-    requests = request_outcomes(_under_valid_keys(run))
+    requests = request_outcomes(_attempts_with_valid_keys(run))
     services = measure_by_organisation(
         requests, run.grants_by_organisation, site.weights_by_kind
     )
@@ -215,9 +215,9 @@
     wrongful = sum(service.wrongful for service in services.values())
     entitled = sum(service.entitled for service in services.values())
     statements = sum(a.verdict is AttemptResult.ANSWERED for a in run.attempts)
-    gap = None
+    gap_s = None
     if counts.lost_at is not None:
-        gap = failover_gap(run, counts.lost_group, counts.lost_at)
+        gap_s = failover_gap(run, counts.lost_group, counts.lost_at)
     return Measures(
         scenario=scenario,
         site=site.name,
@@ -231,7 +231,7 @@
         replica_read_share_tolerant=_share(
             counts.tolerant_replica_reads, counts.tolerant_reads
         ),
-        failover_gap_s=None if gap is None else round(gap, 3),
+        failover_gap_s=None if gap_s is None else round(gap_s, 3),
         worst_organisation_ratio=round(min(ratios, default=1.0), 4),
         worst_fair_share_ratio=round(
             worst_fair_share_ratio(services, weights), 4
@@ -250,8 +250,8 @@
         false_not_run=_count(violations, "not-run-is-true"),
         lost_acknowledged=_count(violations, "acknowledged-is-kept"),
         unfinished_on_stop=counts.unfinished_on_stop,
-        cpu_s_per_1000_statements=_per(counts.cpu_s, statements / 1000.0),
-        control_bytes_per_s_per_vm=_per(
+        cpu_s_per_1000_statements=_divide(counts.cpu_s, statements / 1000.0),
+        control_bytes_per_s_per_vm=_divide(
             counts.control_bytes, counts.duration_s * counts.vms
         ),
     )
--- a/redwingpost/bench/memory_store.py
+++ b/redwingpost/bench/memory_store.py
@@ -12,7 +12,7 @@
 
 
 class MemoryStore:
-    """Both store ports; ``faults`` queues faults of the next transactions."""
+    """A store with both ports; ``faults`` apply to the next transactions."""
 
     def __init__(self) -> None:
         self.rows: dict[tuple[str, str], Row] = {}
@@ -28,7 +28,7 @@
         return Ok(self.rows.get((table, key)))
 
     async def scan(self, table: str, prefix: str = "", after: str = ""):
-        """Return rows in key order."""
+        """Return rows whose key has a prefix, in key order."""
         return Ok(
             tuple(
                 row
--- a/redwingpost/bench/ports.py
+++ b/redwingpost/bench/ports.py
@@ -25,7 +25,7 @@
     OSError
         If no port is left.
     """
-    return find_first_free(ip, _candidates)
+    return find_first_free(ip, _unused_ports)
 
 
 def find_first_free(ip: str, candidates: Iterable[int]) -> int:
@@ -60,4 +60,4 @@
         yield FIRST_PORT + (start + step) % span
 
 
-_candidates = _iterate_ports()
+_unused_ports = _iterate_ports()
--- a/redwingpost/bench/primaries.py
+++ b/redwingpost/bench/primaries.py
@@ -1,4 +1,4 @@
-"""Periods of each group's primaries, to count reads by replicas."""
+"""Which member was primary when, to count reads served by replicas."""
 
 from typing import NamedTuple
 
--- a/redwingpost/bench/runner.py
+++ b/redwingpost/bench/runner.py
@@ -1,4 +1,4 @@
-"""Run one scenario: start the programs, send the load, measure."""
+"""Runs one scenario: starts the programs, sends the load, measures."""
 
 from asyncio import create_task, gather, sleep
 from collections.abc import Callable
@@ -29,8 +29,8 @@
 from redwingpost.bench.schedule import draw_arrivals
 from redwingpost.bench.sites import SITES
 
-#: Delay of a request, in seconds, above which the load generator itself
-#: was too slow; the run reports this, because the system is not the cause.
+#: Maximum delay in sending a request, in seconds. Above it the load
+#: generator itself is too slow, not the system, and the run reports this.
 MAX_LATE_S = 0.25
 
 POLICIES = (REDWINGPOST, NAIVE)
--- a/redwingpost/bench/scenario.py
+++ b/redwingpost/bench/scenario.py
@@ -67,7 +67,7 @@
         return self.random.choice(self.site.groups)
 
     async def find_primary(self, group: str) -> GroupMember:
-        """Return the current primary, or the first one if there is none."""
+        """Return the current primary; without one, the first term's."""
         primary = await self.fleet.current_primary(group)
         return primary or self.fleet.layout.primary(group)
 
@@ -87,12 +87,12 @@
             await operator.close()
 
     async def stop_vm(self, vm: str) -> None:
-        """Stop a VM as planned and count what it left unfinished.
+        """Stop a VM as planned and add to ``unfinished_on_stop``.
 
-        Counted are requests whose connection was lost before an answer,
+        It counts requests whose connection was lost before an answer,
         and processes that did not exit with code 0.
         """
-        before = monotonic()
+        stop_began_at = monotonic()
         running = self.fleet.children.names()
         for name in (f"proxy {vm}", f"agent {vm}"):
             if name in running:
@@ -101,7 +101,7 @@
         self.unfinished_on_stop += sum(
             attempt.proxy == vm
             and attempt.verdict is AttemptResult.LOST
-            and attempt.received_at >= before
+            and attempt.received_at >= stop_began_at
             for attempt in self.load.attempts
         )
 
--- a/redwingpost/bench/scenarios/changes.py
+++ b/redwingpost/bench/scenarios/changes.py
@@ -18,7 +18,7 @@
 from redwingpost.configuration.keys import hash_key
 from redwingpost.core import Code
 
-#: Requests per second under the key that is withdrawn.
+#: Maximum requests per second that use the key that is withdrawn.
 _FORMER_KEY_RATE_PER_S = 60.0
 
 #: Index of the organisation whose key is withdrawn.
@@ -39,8 +39,8 @@
     return changed
 
 
-def _new_key(context: ScenarioContext, place: int, name: str) -> Credential:
-    organisation = context.site.organisations[place].name
+def _new_key(context: ScenarioContext, index: int, name: str) -> Credential:
+    organisation = context.site.organisations[index].name
     return Credential(organisation, name, f"{name}-key-{organisation}")
 
 
@@ -89,7 +89,7 @@
                 for operator, key in zip(operators, keys)
             )
         )
-        winners = [place for place in (0, 1) if submissions[place].accepted]
+        winners = [index for index in (0, 1) if submissions[index].accepted]
         if len(winners) != 1:
             detail = f"{len(winners)} of two conflicting changes accepted"
             context.violations.append(Violation(_PROMISE, detail))
--- a/redwingpost/bench/scenarios/load.py
+++ b/redwingpost/bench/scenarios/load.py
@@ -11,8 +11,8 @@
 from redwingpost.bench.sites import MixEntry, Site
 from redwingpost.bench.statements import JOB_S
 
-#: Index of the organisation that sends too much or asks for long jobs;
-#: it is neither the largest nor the smallest.
+#: Index of the organisation that exceeds its rate or sends long jobs; it
+#: is neither the largest nor the smallest.
 _BUSY_INDEX = 4
 
 #: Load of the hot organisation, as a multiple of its rate.
@@ -102,7 +102,7 @@
 class LongJobs(Scenario):
     """Long jobs occupy slots among short requests."""
 
-    summary = f"jobs of {JOB_S} s ask for a quarter of the slots"
+    summary = f"jobs of {JOB_S} s need a quarter of the slots"
 
     def streams(self, site: Site) -> tuple[Stream, ...]:
         """Return normal load plus a stream of long jobs."""
--- a/redwingpost/bench/scenarios/primaries.py
+++ b/redwingpost/bench/scenarios/primaries.py
@@ -4,11 +4,11 @@
 from redwingpost.bench.layout import delay_rules
 from redwingpost.bench.scenario import SCENARIOS, Scenario, ScenarioContext
 
-#: Seconds of load before the primary is lost.
+#: Seconds after the start of the load at which the primary is lost.
 LOST_AT_S = 5.0
 
-#: Seconds of load before the lost primary is restored.
-BACK_AT_S = 11.0
+#: Seconds after the start of the load at which it is restored.
+RESTORED_AT_S = 11.0
 
 
 @SCENARIOS.register("primary-loss")
@@ -24,7 +24,7 @@
         await context.wait_until(LOST_AT_S)
         await context.fleet.member_fault(primary, "die")
         context.record_primary_loss(group)
-        await context.wait_until(BACK_AT_S)
+        await context.wait_until(RESTORED_AT_S)
         await context.fleet.member_fault(primary, "restart")
 
 
@@ -52,5 +52,5 @@
         await context.wait_until(LOST_AT_S)
         await context.fleet.set_links(rules)
         context.record_primary_loss(group)
-        await context.wait_until(BACK_AT_S)
+        await context.wait_until(RESTORED_AT_S)
         await context.fleet.set_links(delay_rules(context.site))
--- a/redwingpost/bench/service.py
+++ b/redwingpost/bench/service.py
@@ -70,16 +70,16 @@
     for attempt in attempts:
         name = (attempt.organisation, attempt.request)
         attempts_by_request[name].append(attempt)
-    found = [
+    outcomes = [
         _make_outcome(request_attempts)
         for request_attempts in attempts_by_request.values()
     ]
-    return sorted(found, key=lambda outcome: outcome.due_at)
+    return sorted(outcomes, key=lambda outcome: outcome.due_at)
 
 
 def _make_outcome(attempts: list[Attempt]) -> RequestOutcome:
     last = max(attempts, key=lambda attempt: attempt.number)
-    answered = any(t.verdict is AttemptResult.ANSWERED for t in attempts)
+    answered = any(a.verdict is AttemptResult.ANSWERED for a in attempts)
     return RequestOutcome(
         organisation=last.organisation,
         kind=last.kind,
@@ -87,7 +87,7 @@
         group=last.group,
         due_at=attempts[0].due_at,
         answered=answered,
-        refused=not answered and all(reported_not_run(t) for t in attempts),
+        refused=not answered and all(reported_not_run(a) for a in attempts),
         code=0 if answered else last.code,
     )
 
@@ -179,17 +179,17 @@
     {'a': 1.0, 'b': 5.0}
     """
     shares = {}
-    left = capacity
+    capacity_left = capacity
     weights_left = sum(weight_by_organisation.values())
-    by_need = sorted(
+    by_relative_demand = sorted(
         demand_by_organisation,
         key=lambda o: demand_by_organisation[o] / weight_by_organisation[o],
     )
-    for organisation in by_need:
+    for organisation in by_relative_demand:
         weight = weight_by_organisation[organisation]
-        fair = left * weight / weights_left
+        fair = capacity_left * weight / weights_left
         shares[organisation] = min(demand_by_organisation[organisation], fair)
-        left -= shares[organisation]
+        capacity_left -= shares[organisation]
         weights_left -= weight
     return shares
 
--- a/redwingpost/bench/sites.py
+++ b/redwingpost/bench/sites.py
@@ -1,11 +1,12 @@
 """The two users' sites: sizes, organisations and mixes of requests.
 
 Network delays, connections, slots and connect times are the users' own
-figures. Service times and rates are such that on one machine the
+figures. Service times and rates are such that on one computer the
 stand-ins' slots are the bottleneck, not the processor. With five slots
 and 40 ms per read, a member serves 125 reads per second and a group of
-three members about 350 statements of the mix. With 20 ms, the regular
-load of 950 statements/s used six of twelve cores and queued for them.
+three members about 350 statements of the mix. At 20 ms, normal load is
+950 statements/s, which takes six of twelve cores, so that statements
+wait for the processor.
 """
 
 from typing import NamedTuple
@@ -19,16 +20,16 @@
 #: Seconds one write holds a slot; a commit takes longer than a read.
 WRITE_SERVICE_S = 0.048
 
-#: Statements that a member runs at a time, from the users' figures.
+#: Statements that a member runs at a time.
 SLOTS = 5
 
 #: Seconds that opening a connection to a member takes.
 CONNECT_S = 0.012
 
-#: Members of a group, one in each of three data centres.
+#: Number of members of a group, each in another data centre.
 MEMBERS = 3
 
-#: Entry VMs per data centre: six over four, as both users run them.
+#: Number of entry VMs in each data centre: six in all, as at both users.
 VMS_PER_DATA_CENTRE = (2, 2, 1, 1)
 
 #: Share of the capacity that the rates of all organisations add up to.
--- a/redwingpost/bench/statements.py
+++ b/redwingpost/bench/statements.py
@@ -26,7 +26,7 @@
 #: Shared documents (notices, schedules) per organisation and group.
 SHARED_DOCUMENTS = 3
 
-#: Seconds that a long job holds a slot: twenty times a read's.
+#: Seconds that a long job holds a slot, twenty times as long as a read.
 JOB_S = 0.8
 
 #: Deadline of a request, in milliseconds.
--- a/redwingpost/bench/sweep.py
+++ b/redwingpost/bench/sweep.py
@@ -17,16 +17,16 @@
     run_scenario,
 )
 
-#: Seconds that a whole run may take.
+#: Timeout of a whole run with start and stop, in seconds.
 RUN_TIMEOUT_S = 40.0
 
 
 async def run_with_timeout(
-    order: RunSpec, report_progress: Progress
+    spec: RunSpec, report_progress: Progress
 ) -> RunResult:
     """Run one scenario; cancel it after ``RUN_TIMEOUT_S``."""
     async with timeout(RUN_TIMEOUT_S):
-        return await run_scenario(order, report_progress)
+        return await run_scenario(spec, report_progress)
 
 
 class SweepResult(NamedTuple):
@@ -42,7 +42,7 @@
     seeds: Iterable[int],
     policies: Iterable[str],
 ) -> Iterator[RunSpec]:
-    """Return all combinations; the seeds vary fastest."""
+    """Yield a spec for each combination; the seeds vary fastest."""
     for scenario, site, policy, seed in product(
         scenarios, sites, policies, list(seeds)
     ):
@@ -50,16 +50,16 @@
 
 
 def run_all(
-    orders: Iterable[RunSpec], report_progress: Progress
+    specs: Iterable[RunSpec], report_progress: Progress
 ) -> SweepResult:
-    """Run all orders one after another; continue after failures."""
+    """Run all specs one after another; continue after failures."""
     result = SweepResult([], [])
-    for order in orders:
-        name = " ".join(map(str, order))
+    for spec in specs:
+        name = " ".join(map(str, spec))
         report_progress(name)
         try:
             with hold_bench_lock(report_progress):
-                finished = run_loop(run_with_timeout(order, lambda _: None))
+                finished = run_loop(run_with_timeout(spec, lambda _: None))
         except Exception as error:
             # One failed run must not discard the others' results. The
             # report lists it among the runs that did not end.
--- a/redwingpost/bench/tests/test_differential.py
+++ b/redwingpost/bench/tests/test_differential.py
@@ -64,7 +64,7 @@
             member.replica.lag_s = LAG_MS / 1000 if lagging else 0.0
 
     def may_write(self, number):
-        """Tell whether no other session holds the member's writer lock.
+        """Return whether no other session holds the member's writer lock.
 
         A member's stand-in has one lock for all writers. A second one
         would wait until the lock times out after five seconds, as
@@ -181,7 +181,7 @@
 
 
 class DifferentialTest(TestCase):
-    def test_callers_cannot_tell_it_from_one_database(self):
+    def test_answers_equal_those_of_one_database(self):
         # A caller that edits, switches to another proxy and reads while
         # replicas lag could see stale rows, a write applied twice or
         # another session's rows.
--- a/redwingpost/bench/tests/test_load.py
+++ b/redwingpost/bench/tests/test_load.py
@@ -54,10 +54,10 @@
 
 class StatementsTest(TestCase):
     def test_every_operation_names_its_request(self):
-        target = StatementValues("r1", "diocese", "plan", 2)
+        values = StatementValues("r1", "diocese", "plan", 2)
         for operation in Operation:
             with self.subTest(operation):
-                statements = render(operation, target)
+                statements = render(operation, values)
                 naming = [s for s in statements if "'r1'" in s]
                 parts = 2 if operation is Operation.PAIR else 1
                 self.assertEqual(len(naming), parts)
--- a/redwingpost/bench/tests/test_measures.py
+++ b/redwingpost/bench/tests/test_measures.py
@@ -101,12 +101,12 @@
         self.assertEqual(services["a"].ratio, 0.25)
 
     def test_a_retry_makes_one_request(self):
-        tries = (
+        attempts = (
             attempt("r1", 0.0, UNKNOWN),
             attempt("r1", 0.0, number=2),
         )
-        (fate,) = request_outcomes(tries)
-        self.assertTrue(fate.answered)
+        (outcome,) = request_outcomes(attempts)
+        self.assertTrue(outcome.answered)
 
 
 class FairShareTest(TestCase):
--- a/redwingpost/bench/tests/test_pages.py
+++ b/redwingpost/bench/tests/test_pages.py
@@ -93,9 +93,9 @@
         self.assertEqual(cells[:2], ("2", "0.200"))
 
     def test_plan(self):
-        orders = list(plan(["a"], ["x", "y"], range(1, 3), ["naive"]))
+        specs = list(plan(["a"], ["x", "y"], range(1, 3), ["naive"]))
         self.assertEqual(
-            [(o.site, o.seed) for o in orders],
+            [(spec.site, spec.seed) for spec in specs],
             [("x", 1), ("x", 2), ("y", 1), ("y", 2)],
         )
 
--- a/redwingpost/bench/tests/test_ports.py
+++ b/redwingpost/bench/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""Chosen ports stay free until their program listens."""
+"""Ports that no outgoing connection can take before a program listens."""
 
 from socket import socket
 from unittest import TestCase
@@ -14,7 +14,7 @@
 
 
 class PortsTest(TestCase):
-    def test_no_outgoing_connection_can_take_them(self) -> None:
+    def test_ports_are_outside_the_ephemeral_range(self) -> None:
         """Chosen ports are outside the system's ephemeral range.
 
         An outgoing connection that another process opens before the program
@@ -23,14 +23,14 @@
         """
         range_file = "/proc/sys/net/ipv4/ip_local_port_range"
         with open(range_file, encoding="ascii") as file:
-            first_given = int(file.read().split()[0])
+            first_ephemeral = int(file.read().split()[0])
         found = [find_free_port(_IP) for _ in range(20)]
         self.assertEqual(20, len(set(found)))
         for port in found:
             self.assertGreaterEqual(port, FIRST_PORT)
-            self.assertLess(port, min(LAST_PORT, first_given))
+            self.assertLess(port, min(LAST_PORT, first_ephemeral))
 
-    def test_a_port_that_is_taken_is_passed_over(self) -> None:
+    def test_port_in_use_is_skipped(self) -> None:
         with socket() as taken:
             taken.bind((_IP, 0))
             port = taken.getsockname()[1]
--- a/redwingpost/bench/tests/test_token_bucket.py
+++ b/redwingpost/bench/tests/test_token_bucket.py
@@ -10,30 +10,30 @@
 )
 
 
-def spread(moments, random, width):
+def make_intervals(times_s, random, width_s):
     """Return random intervals that contain the given times."""
     return [
-        Interval(m - random.random() * width, m + random.random() * width)
-        for m in moments
+        Interval(t - random.random() * width_s, t + random.random() * width_s)
+        for t in times_s
     ]
 
 
 class OverRateTest(TestCase):
-    def test_whatever_a_bucket_lets_pass_fits(self):
+    def test_admitted_requests_are_within_the_rate(self):
         for seed in range(20):
             random = Random(seed)
             offered = sorted(random.uniform(0.0, 10.0) for _ in range(900))
             passed = conforming(offered, rate=40.0, burst=25.0)
-            moments = [m for m, ok in zip(offered, passed) if ok]
-            intervals = spread(moments, random, width=0.3)
+            times_s = [t for t, ok in zip(offered, passed) if ok]
+            intervals = make_intervals(times_s, random, width_s=0.3)
             with self.subTest(seed=seed):
                 self.assertEqual(count_over_rate(intervals, 40.0, 25.0, 0), 0)
 
-    def test_a_tenth_more_than_the_rate_shows(self):
+    def test_ten_percent_above_the_rate_is_found(self):
         for seed in range(20):
             random = Random(seed)
-            moments = [index / 44.0 for index in range(880)]
-            intervals = spread(moments, random, width=0.1)
+            times_s = [index / 44.0 for index in range(880)]
+            intervals = make_intervals(times_s, random, width_s=0.1)
             with self.subTest(seed=seed):
                 self.assertGreater(
                     count_over_rate(intervals, 40.0, 25.0, 0.02), 40
--- a/redwingpost/bench/token_bucket.py
+++ b/redwingpost/bench/token_bucket.py
@@ -20,7 +20,7 @@
 
 
 def conforming(due: list[float], rate: float, burst: float) -> list[bool]:
-    """Tell which requests a token bucket would have let pass.
+    """Return which requests a token bucket would have admitted.
 
     Parameters
     ----------
@@ -77,7 +77,7 @@
     burst : float
         Size of the bucket, full at the start.
     tolerance_s : float
-        Highest difference between clocks, in seconds.
+        Maximum difference between clocks, in seconds.
 
     Returns
     -------
