--- a/redwingpost/standin/columns.py
+++ b/redwingpost/standin/columns.py
@@ -45,7 +45,7 @@
 }
 
 #: MySQL's DECIMAL has at most 65 digits.
-_DECIMALS = Context(prec=65)
+_DECIMAL_CONTEXT = Context(prec=65)
 
 
 class Declared(NamedTuple):
@@ -80,24 +80,24 @@
 
 
 def _binary_datetime(column: ResultColumn, value: Any) -> bytes:
-    found = datetime.fromisoformat(str(value))
+    moment = datetime.fromisoformat(str(value))
     head = pack(
         "<HBBBBB",
-        found.year,
-        found.month,
-        found.day,
-        found.hour,
-        found.minute,
-        found.second,
+        moment.year,
+        moment.month,
+        moment.day,
+        moment.hour,
+        moment.minute,
+        moment.second,
     )
-    if found.microsecond:
-        return b"\x0b" + head + pack("<I", found.microsecond)
+    if moment.microsecond:
+        return b"\x0b" + head + pack("<I", moment.microsecond)
     return b"\x07" + head
 
 
 def _binary_date(column: ResultColumn, value: Any) -> bytes:
-    found = date.fromisoformat(str(value)[:10])
-    return b"\x04" + pack("<HBB", found.year, found.month, found.day)
+    day = date.fromisoformat(str(value)[:10])
+    return b"\x04" + pack("<HBB", day.year, day.month, day.day)
 
 
 def _binary_time(column: ResultColumn, value: Any) -> bytes:
@@ -107,14 +107,14 @@
     span = timedelta(
         hours=int(hours), minutes=int(minutes), seconds=float(seconds)
     )
-    clock = span.seconds
+    seconds_of_day = span.seconds
     return b"\x0c" + pack(
         "<?IBBBI",
         negative,
         span.days,
-        clock // 3600,
-        clock // 60 % 60,
-        clock % 60,
+        seconds_of_day // 3600,
+        seconds_of_day // 60 % 60,
+        seconds_of_day % 60,
         span.microseconds,
     )
 
@@ -168,10 +168,12 @@
 
     def scale(value: Any) -> Any:
         try:
-            found = Decimal(str(value)).quantize(step, context=_DECIMALS)
+            decimal = Decimal(str(value)).quantize(
+                step, context=_DECIMAL_CONTEXT
+            )
         except InvalidOperation:
             return str(value)
-        return f"{found:f}"
+        return f"{decimal:f}"
 
     return scale
 
--- a/redwingpost/standin/connection.py
+++ b/redwingpost/standin/connection.py
@@ -25,7 +25,12 @@
 
 from redwingpost.standin.mysql_errors import TOO_MANY_CONNECTIONS
 
-_LOST = (ConnectionError, IncompleteReadError, CancelledError, TimeoutError)
+_DISCONNECT_ERRORS = (
+    ConnectionError,
+    IncompleteReadError,
+    CancelledError,
+    TimeoutError,
+)
 
 
 def decode_statement(sql: str) -> str:
@@ -144,7 +149,7 @@
     async def _client_connected_cb(self, reader, writer) -> None:
         try:
             await self._serve(MysqlStream(reader, writer))
-        except _LOST:
+        except _DISCONNECT_ERRORS:
             # A client may disconnect at any time, and at a stop the
             # library would log a traceback for each connection.
             pass
--- a/redwingpost/standin/dialect.py
+++ b/redwingpost/standin/dialect.py
@@ -33,11 +33,11 @@
 
 
 class Statement(NamedTuple):
-    """A statement ready to run: plan, parameters and SLEEP time (s)."""
+    """A statement ready to run: plan, parameters and SLEEP time."""
 
     plan: Plan
     parameters: tuple[Any, ...]
-    sleep: float
+    sleep_s: float
 
 
 class _ShapeBuilder:
@@ -50,7 +50,7 @@
     def __init__(self) -> None:
         self.pieces: list[str] = []
         self.parameters: list[Any] = []
-        self.sleep = 0.0
+        self.sleep_s = 0.0
         self.inline_all = False
         self.inline_numbers = False
 
@@ -100,7 +100,7 @@
     elif upper == "SLEEP":
         end, inside = _call_end(tokens, index)
         if end > index:
-            builder.sleep += _seconds(inside)
+            builder.sleep_s += _seconds(inside)
             builder.pieces.append("0")
             return end
     elif upper in VALUES_BY_FUNCTION:
@@ -108,8 +108,8 @@
         plain = not inside or inside.isdigit()
         if plain and (end > index or upper in WITHOUT_BRACKETS):
             digits = int(inside) if inside else 0
-            found = VALUES_BY_FUNCTION[upper](values, min(digits, 6))
-            builder.add_literal(found)
+            value = VALUES_BY_FUNCTION[upper](values, min(digits, 6))
+            builder.add_literal(value)
             return end
     builder.pieces.append(text)
     return index
@@ -144,7 +144,7 @@
         index = _write_token(tokens, index, builder, values, first) + 1
     shape = "".join(builder.pieces).strip()
     return Statement(
-        plan_shape(first, shape), tuple(builder.parameters), builder.sleep
+        plan_shape(first, shape), tuple(builder.parameters), builder.sleep_s
     )
 
 
--- a/redwingpost/standin/faults.py
+++ b/redwingpost/standin/faults.py
@@ -75,7 +75,7 @@
         """Start to listen."""
         application = Application()
         application.router.add_get("/faults", self._list)
-        application.router.add_post("/faults", self._order)
+        application.router.add_post("/faults", self._inject)
         if self._link_faults:
             self._links = install_link_faults(self._endpoint.ip)
             mount_link_faults(application, self._links)
@@ -95,11 +95,11 @@
     async def _list(self, request: Request) -> Response:
         return json_response({"faults": describe_faults(self._registry)})
 
-    async def _order(self, request: Request) -> Response:
+    async def _inject(self, request: Request) -> Response:
         try:
-            order = _DECODER.decode(await request.read())
-            fault = self._registry.get(str(order.pop("fault", "")))
-            answer = await fault(self._standin, **order)
+            arguments = _DECODER.decode(await request.read())
+            fault = self._registry.get(str(arguments.pop("fault", "")))
+            answer = await fault(self._standin, **arguments)
         except (DecodeError, KeyError, TypeError, ValueError) as error:
             return json_response({"error": str(error)}, status=400)
         body = _ENCODER.encode(answer or {})
--- a/redwingpost/standin/limits.py
+++ b/redwingpost/standin/limits.py
@@ -39,8 +39,8 @@
             await waiter
         except CancelledError:
             # A waiter that is cancelled after it was served holds a unit
-            # that nobody would release, and the member would lose a slot
-            # for ever: pass it on.
+            # that no task would release, and the member would have one
+            # slot less from then on. It goes to the next waiter.
             if waiter.done() and not waiter.cancelled():
                 self.release()
             elif waiter in self._waiters:
@@ -68,14 +68,14 @@
         """Number of sessions that wait for the lock."""
         return self._limiter.waiting
 
-    async def acquire(self, timeout: float) -> bool:
-        """Acquire the lock; return False after ``timeout`` s."""
+    async def acquire(self, timeout_s: float) -> bool:
+        """Acquire the lock; return False after ``timeout_s``."""
         limiter = self._limiter
         if limiter.held == 0:
             await limiter.acquire()
             return True
         try:
-            async with time_limit(timeout):
+            async with time_limit(timeout_s):
                 await limiter.acquire()
         except TimeoutError:
             return False
--- a/redwingpost/standin/lines/group.py
+++ b/redwingpost/standin/lines/group.py
@@ -19,7 +19,8 @@
 class LineMember:
     """State of one member and the faults that a test has set.
 
-    ``runs`` lists the executed statements as (request, statement). The
+    ``paused_for`` is a term: the member receives no entries of lower
+    terms. ``runs`` lists the executed statements as (request, statement). The
     next ``lose_answers`` answers are not sent. An unresponsive member
     answers nothing and takes no part in replication; one that is cut off
     answers, but does not replicate; one that lags does not apply the
@@ -41,12 +42,12 @@
 
     @property
     def head(self) -> Position:
-        """Return the position of the last received entry."""
+        """Position of the last received entry."""
         return self.log[-1].position if self.log else ZERO_POSITION
 
     @property
     def applied_head(self) -> Position:
-        """Return the position of the last applied entry."""
+        """Position of the last applied entry."""
         if not self.applied:
             return ZERO_POSITION
         return self.log[self.applied - 1].position
@@ -70,7 +71,7 @@
         """Append an entry from a primary; return whether it was accepted.
 
         A member refuses it while it is unresponsive, cut off or paused
-        for a higher term, and if it knows a higher term.
+        for a higher term, and if its own term is higher.
         """
         term = entry.position.term
         if self.is_unresponsive or self.is_cut_off or self.paused_for > term:
--- a/redwingpost/standin/lines/member_server.py
+++ b/redwingpost/standin/lines/member_server.py
@@ -30,7 +30,7 @@
 class MemberServer:
     """Serves one member of a group to callers over TCP.
 
-    ``organisations`` lists the organisation that each connection named.
+    ``organisations`` lists the organisation of each startup line.
     """
 
     def __init__(self, group: LineGroup, member: LineMember) -> None:
@@ -95,21 +95,23 @@
 
     async def run(self) -> None:
         """Check the startup line, then answer queries until the end."""
-        word, service, organisation, *expected = (await self._line()).split()
+        word, service, organisation, *expected = (
+            await self._read_line()
+        ).split()
         await self._server.wait_while_unresponsive()
-        wrong = service != self._server.group.name or (
+        is_wrong_member = service != self._server.group.name or (
             expected and expected[0] != self._member.name
         )
-        if word != "STARTUP" or wrong:
+        if word != "STARTUP" or is_wrong_member:
             self._send(f"ERROR WRONGNODE {self._member.name}")
             return
         if self._server.connections > MAX_CONNECTIONS:
             self._send("ERROR MAXCONN full")
             return
         self._server.organisations.append(organisation)
-        self._send(self._ready())
+        self._send(self._ready_line())
         while True:
-            line = await self._line()
+            line = await self._read_line()
             word, _, rest = line.partition(" ")
             if word != "QUERY":
                 return
@@ -129,7 +131,7 @@
         if self._member.lose_answers > 0 and request != "-":
             self._member.lose_answers -= 1
             return
-        self._send("\r\n".join([*lines, self._ready()]))
+        self._send("\r\n".join([*lines, self._ready_line()]))
 
     async def _execute(self, request: str, text: str) -> tuple[list, str]:
         after = None
@@ -148,14 +150,14 @@
         return await handler(request, rest)
 
     async def _do_read(self, request: str, item: str) -> tuple[list, str]:
-        await self._spend_statement_time(request, f"READ {item}")
+        await self._hold_slot(request, f"READ {item}")
         value = self._writes.get(item) or self._member.read(item)
         return [value or "-"], self._execution_proof(request)
 
     async def _do_write(self, request: str, rest: str) -> tuple[list, str]:
         if not self._member.is_primary:
             raise _ErrorReply(f"READONLY {self._member.name}")
-        await self._spend_statement_time(request, f"WRITE {rest}")
+        await self._hold_slot(request, f"WRITE {rest}")
         item, _, data = rest.partition(" ")
         if self._state == "T":
             self._writes[item] = data
@@ -171,7 +173,7 @@
         return [], "-"
 
     async def _do_commit(self, request: str, rest: str) -> tuple[list, str]:
-        await self._spend_statement_time(request, "COMMIT")
+        await self._hold_slot(request, "COMMIT")
         writes, self._writes = self._writes, {}
         self._state = "I"
         if writes and not self._member.is_primary:
@@ -232,7 +234,8 @@
         self._server.group.step_down(self._member, int(rest))
         return await self._do_status(request, "")
 
-    async def _spend_statement_time(self, request: str, text: str) -> None:
+    async def _hold_slot(self, request: str, text: str) -> None:
+        """Hold a slot for the statement time, then record the statement."""
         async with self._server.slots:
             await sleep(STATEMENT_TIME_S)
         self._member.runs.append((request, text))
@@ -241,12 +244,12 @@
         text = f"{self._member.name} {request}".encode()
         return f"1.{blake2b(text, digest_size=8).hexdigest()}"
 
-    def _ready(self) -> str:
+    def _ready_line(self) -> str:
         head = self._member.head
         position = f"{head.term}.{head.index}" if head.index else "-"
         return f"READY {self._state} {position}"
 
-    async def _line(self) -> str:
+    async def _read_line(self) -> str:
         raw = await self._reader.readuntil(b"\r\n")
         return raw[:-2].decode("latin-1")
 
--- a/redwingpost/standin/lines/rows.py
+++ b/redwingpost/standin/lines/rows.py
@@ -53,12 +53,12 @@
 
         A missing row has version 0.
         """
-        wrong = []
+        mismatching = []
         for table, part, key, ver in expected:
             row = self._rows_by_id.get((table, part, key))
             if (row.ver if row else 0) != ver:
-                wrong.append(row or StoredRow(table, part, key, "", 0))
-        return wrong
+                mismatching.append(row or StoredRow(table, part, key, "", 0))
+        return mismatching
 
     def apply(
         self,
--- a/redwingpost/standin/lines/site.py
+++ b/redwingpost/standin/lines/site.py
@@ -120,10 +120,10 @@
         self.orders.append(order)
         if self.find(order.member).is_unresponsive:
             return Response(status=409)
-        create_task(self._take_effect(order))
+        create_task(self._promote_after_delay(order))
         return Response(status=200)
 
-    async def _take_effect(self, order: Order) -> None:
+    async def _promote_after_delay(self, order: Order) -> None:
         await sleep(PROMOTION_DELAY_S)
         group = self.group_by_name[order.group]
         group.promote(order.member)
--- a/redwingpost/standin/lines/store.py
+++ b/redwingpost/standin/lines/store.py
@@ -36,7 +36,7 @@
 
 
 class StandInStore:
-    """Rows, feed and objects; tests set ``faults`` at any time."""
+    """The store's rows, change feed and objects; tests set ``faults``."""
 
     def __init__(self) -> None:
         self.rows = Rows()
@@ -98,8 +98,8 @@
         deletes = [row_id_of(item) for item in body["deleteRows"]]
         ver = self.rows.apply(expected, puts, deletes)
         if ver is None:
-            wrong = [row._asdict() for row in self.rows.mismatches(expected)]
-            return json_response({"rows": wrong, **self._now()}, status=412)
+            rows = [row._asdict() for row in self.rows.mismatches(expected)]
+            return json_response({"rows": rows, **self._now()}, status=412)
         self._wake()
         if self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
@@ -127,12 +127,12 @@
             return refused
         table = request.query["table"]
         after = int(request.query["after"])
-        until = monotonic() + int(request.query["waitMs"]) / 1000.0
+        deadline_at = monotonic() + int(request.query["waitMs"]) / 1000.0
         while True:
             changes = self.rows.since(table, after)
             if changes is None:
                 return Response(status=410)
-            left_s = until - monotonic()
+            left_s = deadline_at - monotonic()
             if changes or left_s <= 0.0:
                 rows = [
                     {**change.row._asdict(), "removed": change.removed}
--- a/redwingpost/standin/member.py
+++ b/redwingpost/standin/member.py
@@ -42,7 +42,7 @@
 
 #: Loop iterations between a readable listening socket and the transport
 #: of the accepted connection: the accept, and the task that it starts.
-ACCEPT_TURNS = 2
+ACCEPT_ITERATIONS = 2
 
 Address = tuple[str, int]
 
@@ -54,7 +54,7 @@
     member) is kept across ``die`` and ``restart``. The next
     ``lost_answers`` answers to statements that contain
     ``lost_answers_match`` are lost: the connection is aborted instead.
-    ``generation`` counts the member's deaths.
+    ``generation`` counts the member's crashes.
 
     Parameters
     ----------
@@ -108,7 +108,7 @@
         self._running.set()
         self._find_peer = find_peer
         self._server: MemberServer | None = None
-        self._replication = None
+        self._replication_server = None
         self._pull_writers: set[StreamWriter] = set()
 
     async def on_start(self) -> None:
@@ -135,10 +135,10 @@
         )
         await self._server.start_server()
         self.port = self._server.sockets()[0].getsockname()[1]
-        self._replication = await start_server(
+        self._replication_server = await start_server(
             self._answer_pulls, ip, self.replication_port
         )
-        bound = self._replication.sockets[0].getsockname()
+        bound = self._replication_server.sockets[0].getsockname()
         self.replication_port = bound[1]
         self.is_alive = True
         self.restart_replica()
@@ -167,11 +167,14 @@
         iteration after the accept, and logs an assertion error if the
         server was closed in between.
         """
-        servers = (self._server, self._replication)
+        servers = (self._server, self._replication_server)
         loop = get_running_loop()
-        for listening in (*self._server.sockets(), *self._replication.sockets):
+        for listening in (
+            *self._server.sockets(),
+            *self._replication_server.sockets,
+        ):
             loop.remove_reader(listening.fileno())
-        for _ in range(ACCEPT_TURNS):
+        for _ in range(ACCEPT_ITERATIONS):
             await sleep(0)
         for server in servers:
             server.close()
@@ -209,8 +212,8 @@
         ``step_ms``; the longer ``write_ms`` is the duration of a commit.
         """
         settings = self.settings
-        cost = settings.step_ms if is_step else settings.write_ms
-        await self._serve(cost, sleep_s)
+        cost_ms = settings.step_ms if is_step else settings.write_ms
+        await self._serve(cost_ms, sleep_s)
 
     async def serve_step(self, sleep_s: float) -> None:
         """Wait for a write of a transaction that has written before.
@@ -228,9 +231,9 @@
         slots = self.slots
         await slots.acquire()
         try:
-            duration = cost_ms / 1000 * self.slow_factor + sleep_s
-            if duration > 0:
-                await sleep(duration)
+            duration_s = cost_ms / 1000 * self.slow_factor + sleep_s
+            if duration_s > 0:
+                await sleep(duration_s)
         finally:
             slots.release()
 
@@ -253,17 +256,17 @@
         Returns False when a higher term is promised or after the timeout.
         """
         loop = get_running_loop()
-        deadline = loop.time() + timeout_s
+        deadline_at = loop.time() + timeout_s
         while True:
             promised = self.term_state.promise.term
             if promised > term:
                 return False
             if promised == term and holds():
                 return True
-            left = deadline - loop.time()
-            if left <= 0:
+            left_s = deadline_at - loop.time()
+            if left_s <= 0:
                 return False
-            await self.replica.changed.wait(left)
+            await self.replica.changed.wait(left_s)
 
     def claim(self, term: int, claimant: str) -> bool:
         """Promise a term; if accepted, abort a lower term's open write."""
@@ -273,6 +276,7 @@
         return accepted
 
     def _fence(self) -> None:
+        """Abort an open write of a former primary; notify waiting tasks."""
         if not self.term_state.is_primary and self.writing is not None:
             self.writing.abort_fenced()
         self.replica.changed.notify()
--- a/redwingpost/standin/mysql_errors.py
+++ b/redwingpost/standin/mysql_errors.py
@@ -4,6 +4,7 @@
 
 from mysql_mimic.errors import MysqlError
 
+#: MySQL's error numbers.
 DUPLICATE_KEY = 1062
 SYNTAX = 1064
 NO_SUCH_TABLE = 1146
@@ -43,7 +44,7 @@
 
 
 def read_only() -> MemberError:
-    """Return the error of a member that refuses writes, unexecuted."""
+    """Return the error of a write that a read-only member did not run."""
     return MemberError(
         READ_ONLY,
         "The MySQL server is running with the --read-only option so it"
--- a/redwingpost/standin/plans.py
+++ b/redwingpost/standin/plans.py
@@ -22,7 +22,9 @@
     ``kind`` is the statement's first word; ``statements`` are in SQLite's
     dialect. For an ON DUPLICATE KEY UPDATE ``probe`` is the same insert
     with OR IGNORE, which counts the rows that would be inserted and not
-    updated.
+    updated. ``locks`` marks a SELECT … FOR UPDATE, ``temporary`` a
+    definition of a temporary table, ``answers`` a statement that returns
+    rows.
     """
 
     kind: str
--- a/redwingpost/standin/platform.py
+++ b/redwingpost/standin/platform.py
@@ -43,7 +43,7 @@
     writes: list[tuple[str, str, dict[str, Any] | None]]
 
 
-_REQUESTS = Decoder(dict[str, list[dict[str, Any]]])
+_REQUEST_DECODER = Decoder(dict[str, list[dict[str, Any]]])
 _ENCODER = Encoder()
 
 
@@ -55,7 +55,7 @@
     DecodeError, ValidationError, KeyError, TypeError, ValueError
         If the body is malformed.
     """
-    request = _REQUESTS.decode(body)
+    request = _REQUEST_DECODER.decode(body)
     conditions = [
         (str(c["table"]), str(c["key"]), int(c["version"]))
         for c in request.get("conditions", [])
@@ -121,7 +121,7 @@
 
     @property
     def url(self) -> str:
-        """URL under which the settings of a VM name the platform."""
+        """URL of the platform, for the settings of a VM."""
         return f"http://{self.address[0]}:{self.address[1]}"
 
     def now(self) -> float:
--- a/redwingpost/standin/replica.py
+++ b/redwingpost/standin/replica.py
@@ -72,13 +72,13 @@
         return self.log.position_at(self.applied)
 
     def age_s(self) -> float:
-        """Return the largest possible age of the data by the own clock, s."""
+        """Return the maximum age of the data in s, by this member's clock."""
         if self.term_state.is_primary:
             return 0.0
         return get_running_loop().time() - self._up_to_date_at
 
     def commit(self, entry: LogEntry) -> Position:
-        """Append a transaction that the own store has committed."""
+        """Append a transaction that this member's store has committed."""
         position = self.log.append(entry)
         self.applied = position.index
         self.changed.notify()
@@ -183,9 +183,9 @@
     async def _apply_forever(self, wait_while_paused) -> None:
         while True:
             await wait_while_paused()
-            wait = self._apply_due(MAX_APPLY_ENTRIES)
-            if wait > 0:
-                await self.changed.wait(min(wait, 0.5))
+            wait_s = self._apply_due(MAX_APPLY_ENTRIES)
+            if wait_s > 0:
+                await self.changed.wait(min(wait_s, 0.5))
             else:
                 await sleep(0)
 
@@ -198,9 +198,9 @@
         count = 0
         while self._arrivals and count < limit:
             last, arrived_at = self._arrivals[0]
-            due_in = arrived_at + self.lag_s - now
-            if due_in > 0:
-                return due_in
+            due_in_s = arrived_at + self.lag_s - now
+            if due_in_s > 0:
+                return due_in_s
             count += self._apply_to(min(last, self.applied + limit - count))
             if self.applied >= last:
                 self._arrivals.popleft()
--- a/redwingpost/standin/replication.py
+++ b/redwingpost/standin/replication.py
@@ -1,10 +1,10 @@
 """Replication between members: replicas pull over TCP.
 
 A follower requests the entries after its log and sends its history. The
-primary delays the answer until it has such entries, for a short time at
-most. The answer contains the primary's head: once the follower has
-applied it, its data are no older than the time at which it *sent* the
-request.
+primary delays the answer until it has such entries, for at most
+``pull_hold_ms``. The answer contains the index of the primary's last
+entry (``head``): once the follower has applied it, its data are no older
+than the time at which it *sent* the request.
 """
 
 from asyncio import (
@@ -25,14 +25,14 @@
     common_index,
 )
 
-_LENGTH = Struct("<I")
+_FRAME_LENGTH = Struct("<I")
 _ENCODER = Encoder()
 
 #: Entries in one answer; bounds what a follower receives at once.
 MAX_ANSWER_ENTRIES = 500
 
 #: Seconds after which an unanswered pull is sent again on a new
-#: connection. Without a timeout the follower of a member that died without
+#: connection. Without a timeout the follower of a member that crashed without
 #: closing its connection would wait forever while its data grow older.
 PULL_TIMEOUT_S = 2.0
 
@@ -64,8 +64,8 @@
     image: bytes = b""
 
 
-_PULLS = Decoder(Pull)
-_ANSWERS = Decoder(PullAnswer)
+_PULL_DECODER = Decoder(Pull)
+_ANSWER_DECODER = Decoder(PullAnswer)
 
 
 def answer_pull(pull: Pull, log: ReplicationLog, term: int) -> PullAnswer:
@@ -87,18 +87,18 @@
 async def send_frame(writer: StreamWriter, message: tuple) -> None:
     """Write a message, preceded by its length."""
     body = _ENCODER.encode(message)
-    writer.write(_LENGTH.pack(len(body)) + body)
+    writer.write(_FRAME_LENGTH.pack(len(body)) + body)
     await writer.drain()
 
 
 async def _read_frame(reader: StreamReader) -> bytes:
-    head = await reader.readexactly(_LENGTH.size)
-    return await reader.readexactly(_LENGTH.unpack(head)[0])
+    head = await reader.readexactly(_FRAME_LENGTH.size)
+    return await reader.readexactly(_FRAME_LENGTH.unpack(head)[0])
 
 
 async def read_pull(reader: StreamReader) -> Pull:
     """Read a follower's request."""
-    return _PULLS.decode(await _read_frame(reader))
+    return _PULL_DECODER.decode(await _read_frame(reader))
 
 
 class PullChannel:
@@ -140,7 +140,7 @@
                 ip, port, local_addr=(self._own_ip, 0)
             )
         await send_frame(self._writer, pull)
-        return _ANSWERS.decode(await _read_frame(self._reader))
+        return _ANSWER_DECODER.decode(await _read_frame(self._reader))
 
     def close(self) -> None:
         """Abort the connection."""
--- a/redwingpost/standin/replication_log.py
+++ b/redwingpost/standin/replication_log.py
@@ -35,12 +35,12 @@
     >>> term_at((Position(1, 1), Position(4, 7)), 7)
     4
     """
-    found = 0
+    term = 0
     for first in history:
         if first.index > index:
             break
-        found = first.term
-    return found
+        term = first.term
+    return term
 
 
 def common_index(
@@ -121,7 +121,7 @@
         return dropped
 
     def holds(self, term: int, index: int) -> bool:
-        """Return whether the log holds ``index`` as ``term``'s primary does.
+        """Return whether the log holds entry ``index`` of ``term``'s primary.
 
         The last entry must be of that term: a log that ends in an older
         term may hold a different entry at the same index.
--- a/redwingpost/standin/session.py
+++ b/redwingpost/standin/session.py
@@ -32,7 +32,7 @@
 
 _STORE_ERRORS = (StoreError, StoreWarning, OverflowError, ValueError)
 _FROM = compile_pattern(r"\bFROM\b", IGNORECASE)
-_INSERTED = compile_pattern(r"\bINTO\s+(`[^`]+`|[\w$]+)", IGNORECASE)
+_INSERTED_TABLE = compile_pattern(r"\bINTO\s+(`[^`]+`|[\w$]+)", IGNORECASE)
 
 
 class MemberSession(BaseSession):
@@ -155,8 +155,8 @@
     async def _read(self, statement: Statement) -> ResultSet:
         plan = statement.plan
         sql = plan.statements[0]
-        if statement.sleep or _FROM.search(sql):
-            await self.member.serve_read(statement.sleep)
+        if statement.sleep_s or _FROM.search(sql):
+            await self.member.serve_read(statement.sleep_s)
             await self._wait_while_paused()
         if plan.locks and self.transaction.is_open:
             if self.member.term_state.is_primary:
@@ -190,17 +190,17 @@
 
     async def _write(self, statement: Statement) -> None:
         if not self.member.term_state.is_primary:
-            self.transaction.check()
+            self.transaction.raise_if_fenced()
             raise read_only()
         in_transaction = self.transaction.is_open
         if self.transaction.is_writing:
-            await self.member.serve_step(statement.sleep)
+            await self.member.serve_step(statement.sleep_s)
         else:
-            await self.member.serve_write(statement.sleep, in_transaction)
+            await self.member.serve_write(statement.sleep_s, in_transaction)
         await self._wait_while_paused()
         await self.transaction.lock()
         await self._wait_while_paused()
-        self.transaction.check()
+        self.transaction.raise_if_fenced()
         try:
             self._execute(statement)
         except _STORE_ERRORS as error:
@@ -242,7 +242,7 @@
     def _record_insert_id(self, kind: str, sql: str, cursor) -> None:
         if kind != "INSERT" or cursor.rowcount < 1:
             return
-        match = _INSERTED.search(sql)
+        match = _INSERTED_TABLE.search(sql)
         table = match.group(1).strip("`") if match else ""
         if self.member.store.has_auto_increment(table, self.transaction.store):
             self.last_insert_id = cursor.lastrowid - cursor.rowcount + 1
@@ -255,10 +255,10 @@
             self._define_temporary(plan.statements)
             return
         if not self.member.term_state.is_primary:
-            self.transaction.check()
+            self.transaction.raise_if_fenced()
             raise read_only()
         self.transaction.commit()
-        await self.member.serve_write(statement.sleep, False)
+        await self.member.serve_write(statement.sleep_s, False)
         await self.transaction.lock()
         await self._wait_while_paused()
         try:
--- a/redwingpost/standin/session_statements.py
+++ b/redwingpost/standin/session_statements.py
@@ -17,7 +17,7 @@
 
 STATEMENTS: Registry[Handler] = Registry("session statement")
 
-_FIRST = compile_pattern(r"(?:\s|/\*.*?\*/)*(\w+)", IGNORECASE)
+_FIRST_WORD = compile_pattern(r"(?:\s|/\*.*?\*/)*(\w+)", IGNORECASE)
 _ASSIGNMENT = compile_pattern(
     r"(?is)^\s*(?P<scope>@@(?:session|global)?\.?|@|session\s+|global\s+)?"
     r"(?P<name>[\w.$]+)\s*:?=\s*(?P<value>.+?)\s*$"
@@ -30,7 +30,7 @@
 
 def find_session_statement(text: str) -> Handler | None:
     """Return the handler of a session statement, None for any other."""
-    match = _FIRST.match(text)
+    match = _FIRST_WORD.match(text)
     word = match.group(1).upper() if match else ""
     return STATEMENTS.get(word) if word in _STATEMENT_NAMES else None
 
@@ -154,7 +154,7 @@
 async def do(session: Any, text: str) -> None:
     """Hold a slot for the SLEEP time of an expression: ``DO SLEEP(1)``."""
     statement = translate(f"SELECT {text.strip()[2:]}", session.values())
-    await session.member.serve_read(statement.sleep)
+    await session.member.serve_read(statement.sleep_s)
 
 
 _STATEMENT_NAMES = frozenset(STATEMENTS.names())
--- a/redwingpost/standin/settings.py
+++ b/redwingpost/standin/settings.py
@@ -21,10 +21,12 @@
 class GroupSettings(NamedTuple):
     """Settings of one database group's members.
 
-    The default limits are those of today's installations: 5 slots, 32
+    The default limits are those of the users' databases: 5 slots, 32
     connections, 12 ms for a new connection. Times are milliseconds.
     ``write_ms`` is the duration of a commit, ``step_ms`` that of a write
-    inside an open transaction.
+    inside an open transaction. A primary without new entries delays the
+    answer to a pull by up to ``pull_hold_ms``. A member keeps the last
+    ``statements_kept`` statements for tests.
     """
 
     group: str
@@ -153,8 +155,7 @@
     if not isinstance(vms, list):
         raise _InvalidSettings("vms: must be an array of tables")
     fields["vms"] = tuple(
-        _build(VmSettings, vm, f"vms[{location}]")
-        for location, vm in enumerate(vms)
+        _build(VmSettings, vm, f"vms[{index}]") for index, vm in enumerate(vms)
     )
     return _build(PlatformSettings, fields, "platform settings")
 
--- a/redwingpost/standin/signals.py
+++ b/redwingpost/standin/signals.py
@@ -20,15 +20,15 @@
             if not waiter.done():
                 waiter.set_result(None)
 
-    async def wait(self, timeout: float | None = None) -> bool:
-        """Wait for the next notification; False after ``timeout`` s."""
+    async def wait(self, timeout_s: float | None = None) -> bool:
+        """Wait for the next notification; False after ``timeout_s``."""
         waiter = get_running_loop().create_future()
         self._waiters.add(waiter)
         try:
             # Not wait_for: up to Python 3.11 it swallows a cancellation
             # that arrives together with the result, and a cancelled task
             # would never end.
-            done, _ = await wait((waiter,), timeout=timeout)
+            done, _ = await wait((waiter,), timeout=timeout_s)
         finally:
             self._waiters.discard(waiter)
         return bool(done)
--- a/redwingpost/standin/store.py
+++ b/redwingpost/standin/store.py
@@ -13,7 +13,7 @@
 from redwingpost.standin.replication_log import LogEntry
 
 #: Bytes 18 and 19 of an SQLite file hold its journal mode. A database in
-#: memory can't use WAL mode: an image that says WAL would not open.
+#: memory can't use WAL mode: an image in that mode could not be opened.
 _JOURNAL_BYTES = slice(18, 20)
 
 
@@ -69,11 +69,11 @@
         """
         if shape in self._types_by_shape:
             return self._types_by_shape[shape]
-        found = self._view_types(shape)
+        types = self._view_types(shape)
         if len(self._types_by_shape) > 4096:
             self._types_by_shape.clear()
-        self._types_by_shape[shape] = found
-        return found
+        self._types_by_shape[shape] = types
+        return types
 
     def _view_types(self, shape: str) -> tuple[Declared | None, ...]:
         catalogue = self._catalogue
--- a/redwingpost/standin/tables.py
+++ b/redwingpost/standin/tables.py
@@ -29,7 +29,7 @@
     """Rows by (table, key), in key order.
 
     A row's version grows with each write, also across a deletion and a
-    new creation, so that a version never stands for two contents.
+    new creation, so that no two contents of a key have the same version.
 
     Examples
     --------
--- a/redwingpost/standin/tests/support.py
+++ b/redwingpost/standin/tests/support.py
@@ -47,14 +47,16 @@
         return list(await cursor.fetchall())
 
 
-async def changed(connection: Connection, sql: str, *arguments: Any) -> tuple:
+async def run_write(
+    connection: Connection, sql: str, *arguments: Any
+) -> tuple:
     """Run a write and return affected rows and last insert id."""
     async with connection.cursor() as cursor:
         await cursor.execute(sql, arguments or None)
         return cursor.rowcount, cursor.lastrowid
 
 
-async def order(address: tuple[str, int], fault: str, **arguments: Any):
+async def inject_fault(address: tuple[str, int], fault: str, **arguments: Any):
     """Send a fault command; return the HTTP status and the answer."""
     url = f"http://{address[0]}:{address[1]}/faults"
     async with ClientSession() as client:
--- a/redwingpost/standin/tests/test_drivers.py
+++ b/redwingpost/standin/tests/test_drivers.py
@@ -10,7 +10,7 @@
 
 from redwingpost.standin import GroupStandin
 from redwingpost.standin.tests.support import (
-    changed,
+    run_write,
     dial,
     quick_settings,
     rows,
@@ -122,7 +122,7 @@
 
     async def test_counts_are_the_same(self):
         await rows(self.asyncmy, "CREATE TABLE t (id INT PRIMARY KEY, v INT)")
-        await changed(self.asyncmy, "INSERT INTO t VALUES (1, 1), (2, 1)")
+        await run_write(self.asyncmy, "INSERT INTO t VALUES (1, 1), (2, 1)")
         update = "UPDATE t SET v = v + 1 WHERE v > 0"
         for driver in self.blocking:
             with self.subTest(driver=type(driver).__name__):
--- a/redwingpost/standin/tests/test_group.py
+++ b/redwingpost/standin/tests/test_group.py
@@ -11,9 +11,9 @@
 
 from redwingpost.standin import GroupStandin
 from redwingpost.standin.tests.support import (
-    changed,
+    run_write,
     dial,
-    order,
+    inject_fault,
     quick_settings,
     rows,
 )
@@ -64,7 +64,7 @@
 
 
 class StatementsTest(GroupCase):
-    async def test_types_pass_whole(self):
+    async def test_values_are_read_as_written(self):
         primary = await self.dial("a")
         await rows(primary, CREATE)
         values = (
@@ -78,7 +78,7 @@
             "INSERT INTO plans (name, price, at, body, stock)"
             " VALUES (%s, %s, %s, %s, %s)"
         )
-        self.assertEqual(await changed(primary, insert, *values), (1, 1))
+        self.assertEqual(await run_write(primary, insert, *values), (1, 1))
         found = await rows(primary, "SELECT * FROM plans")
         self.assertEqual(found, [(1, *values)])
 
@@ -98,7 +98,7 @@
         ]
         for sql, expected in table:
             with self.subTest(sql=sql):
-                affected, inserted = await changed(primary, sql)
+                affected, inserted = await run_write(primary, sql)
                 self.assertEqual(affected, expected[0])
                 if expected[1]:
                     self.assertEqual(inserted, expected[1])
@@ -194,11 +194,11 @@
         self.assertEqual(await self.error(primary, "COMMIT"), 1290)
         self.assertEqual(await rows(primary, "SELECT * FROM plans"), [])
 
-    async def test_diverged_tail_is_set_aside(self):
+    async def test_diverged_entries_are_undone_and_recorded(self):
         """A primary commits unreplicated, is replaced and then follows.
 
-        Entries that only it holds must not be merged: a caller would see
-        a reservation that the group doesn't hold.
+        Entries that only it holds must be undone: a caller would read a
+        reservation that the group doesn't have.
         """
         primary = await self.dial("a")
         await rows(primary, CREATE)
@@ -216,14 +216,14 @@
         await rows(old, f"REDWING WAIT APPLIED {term} {index} 5000")
         found = await rows(old, "SELECT name FROM plans")
         self.assertEqual(found, [("kept",)])
-        aside = await rows(old, "REDWING DIVERGED")
-        self.assertEqual([row[:2] for row in aside], [(1, 3)])
+        undone = await rows(old, "REDWING DIVERGED")
+        self.assertEqual([row[:2] for row in undone], [(1, 3)])
 
 
 class LinkFaultsTest(GroupCase):
     settings = quick_settings(link_faults=True, pull_hold_ms=5)
 
-    async def test_cut_holds_replication_up(self):
+    async def test_cut_link_stops_replication(self):
         """A replica's data centre is cut off from the primary's.
 
         Writes continue, but the replica doesn't receive them; it catches
@@ -253,44 +253,44 @@
 
 
 class FaultsTest(GroupCase):
-    async def order(self, fault, **arguments):
-        status, answer = await order(
+    async def inject_fault(self, fault, **arguments):
+        status, answer = await inject_fault(
             self.group.fault_address, fault, **arguments
         )
         self.assertEqual(status, 200, answer)
         return answer
 
-    async def test_lost_answer_took_effect(self):
+    async def test_write_with_lost_answer_is_applied(self):
         """The member commits, but its answer never arrives.
 
         The caller can't distinguish this from a write that didn't run.
         """
         primary = await self.dial("a")
         await rows(primary, CREATE)
-        await self.order("lose-answer", member="a", match="INSERT")
+        await self.inject_fault("lose-answer", member="a", match="INSERT")
         with self.assertRaises(MySQLError):
             await rows(primary, "INSERT INTO plans (name) VALUES ('x')")
         other = await self.dial("a")
         found = await rows(other, "SELECT name FROM plans")
         self.assertEqual(found, [("x",)])
 
-    async def test_death_keeps_promises_and_data(self):
-        """A member that dies and restarts keeps its promises and data."""
+    async def test_crash_keeps_promises_and_data(self):
+        """A member that crashes and restarts keeps its promises and data."""
         primary = await self.dial("a")
         await rows(primary, CREATE)
         await rows(primary, "REDWING CLAIM 7 vm-9")
-        await self.order("die", member="a")
+        await self.inject_fault("die", member="a")
         with self.assertRaises(MySQLError):
             await rows(primary, "SELECT 1")
         with self.assertRaises(MySQLError):
             await self.dial("a")
-        await self.order("restart", member="a")
+        await self.inject_fault("restart", member="a")
         again = await self.dial("a")
         status = await rows(again, "REDWING STATUS")
         self.assertEqual(status[0][1:3], ("replica", 7))
         self.assertEqual(await rows(again, "SELECT * FROM plans"), [])
 
-    async def test_unknown_orders_are_refused(self):
+    async def test_invalid_faults_are_refused(self):
         table = [
             ("explode", {}),
             ("die", {}),
@@ -299,7 +299,7 @@
         ]
         for fault, arguments in table:
             with self.subTest(fault=fault, arguments=arguments):
-                status, answer = await order(
+                status, answer = await inject_fault(
                     self.group.fault_address, fault, **arguments
                 )
                 self.assertEqual(status, 400)
@@ -309,8 +309,8 @@
         primary = await self.dial("a")
         await rows(primary, CREATE)
         await rows(primary, "INSERT INTO plans (name) VALUES ('x')")
-        dump = await self.order("dump", member="a")
+        dump = await self.inject_fault("dump", member="a")
         self.assertEqual(len(dump["tables"]["plans"]["rows"]), 1)
         self.assertEqual(len(dump["log"]), 3)
-        kept = await self.order("statements", member="a")
-        self.assertIn(CREATE, kept["statements"])
+        received = await self.inject_fault("statements", member="a")
+        self.assertIn(CREATE, received["statements"])
--- a/redwingpost/standin/tests/test_platform.py
+++ b/redwingpost/standin/tests/test_platform.py
@@ -5,7 +5,7 @@
 from aiohttp import ClientError, ClientSession
 
 from redwingpost.standin import PlatformSettings, PlatformStandin, VmSettings
-from redwingpost.standin.tests.support import order
+from redwingpost.standin.tests.support import inject_fault
 
 VM = VmSettings("vm-1", "lima-1", "127.1.1.1", 7002, 3306)
 
@@ -20,8 +20,8 @@
         self.client = ClientSession(self.platform.url)
         self.addAsyncCleanup(self.client.close)
 
-    async def order(self, fault, **arguments):
-        status, answer = await order(
+    async def inject_fault(self, fault, **arguments):
+        status, answer = await inject_fault(
             self.platform.fault_address, fault, **arguments
         )
         self.assertEqual(status, 200, answer)
@@ -82,23 +82,23 @@
             self.assertEqual(await answer.read(), b"\x00x")
         self.assertEqual((await self.get("/v1/objects/none"))[0], 404)
 
-    async def test_vms_change_by_order(self):
-        await self.order("vm-leaving", vm="vm-1")
+    async def test_fault_commands_change_the_vm_list(self):
+        await self.inject_fault("vm-leaving", vm="vm-1")
         _, body = await self.get("/v1/vms")
         states = [(vm["vm"], vm["state"]) for vm in body["vms"]]
         self.assertEqual(states, [("vm-1", "leaving")])
-        await self.order("vm-remove", vm="vm-1")
+        await self.inject_fault("vm-remove", vm="vm-1")
         self.assertEqual((await self.get("/v1/vms"))[1], {"vms": []})
 
     async def test_outage_refuses_and_ends(self):
-        await self.order("outage")
+        await self.inject_fault("outage")
         self.assertEqual((await self.get("/v1/vms"))[0], 503)
-        await self.order("recover")
+        await self.inject_fault("recover")
         self.assertEqual((await self.get("/v1/vms"))[0], 200)
 
-    async def test_lost_answer_took_effect(self):
+    async def test_write_with_lost_answer_is_applied(self):
         """The platform applies a write, but its answer never arrives."""
-        await self.order("lose-answer", match="marked")
+        await self.inject_fault("lose-answer", match="marked")
         write = {"table": "t", "key": "marked", "value": {}}
         other = {"table": "t", "key": "plain", "value": {}}
         self.assertEqual((await self.transact([], [other]))[0], 200)
--- a/redwingpost/standin/tests/test_promotions.py
+++ b/redwingpost/standin/tests/test_promotions.py
@@ -1,6 +1,6 @@
 """Random claims, promotions, crashes and writes against one group.
 
-Terms change during writes, and members die and restart with their promises
+Terms change during writes, and members crash and restart with their promises
 while replicas pull. In any order of events, two logs that hold the same
 (term, index) must hold the same entries up to it, and a member's data must
 result from its log.
@@ -22,7 +22,7 @@
 PROMOTIONS = 60
 
 
-class Chaos:
+class RandomEvents:
     """Applies seeded random events to a group and checks its logs."""
 
     def __init__(self, group, seed):
@@ -79,10 +79,10 @@
                 member.follow(self.term, best.name, "", 0)
 
     async def crash(self):
-        """Kill a random member, or restart a dead one."""
-        dead = [m for m in self.members if not m.is_alive]
-        if dead:
-            await dead[0].restart()
+        """Crash a random member, or restart a crashed one."""
+        crashed = [m for m in self.members if not m.is_alive]
+        if crashed:
+            await crashed[0].restart()
             return
         await self.random.choice(self.members).die()
 
@@ -133,7 +133,7 @@
                 return
 
     async def check_convergence(self):
-        """Unite all members under one primary and compare their data."""
+        """Make all members follow one primary and compare their data."""
         for member in self.members:
             await member.restart()
             member.replica.lag_s = 0.0
@@ -160,8 +160,8 @@
         self.diverged = sum(len(m.replica.diverged) for m in self.members)
 
 
-async def run_chaos(seed, promotions):
-    """Run a group through random events; return the `Chaos` object."""
+async def run_random_events(seed, promotions):
+    """Run random events on a group; return the `RandomEvents` object."""
     getLogger("mysql_mimic").setLevel(CRITICAL)
     group = GroupStandin(quick_settings(pull_hold_ms=2))
     await group.start()
@@ -177,9 +177,9 @@
             await member.wait_position(
                 1, 10.0, lambda m=member: m.replica.applied == 2
             )
-        chaos = Chaos(group, seed)
-        await chaos.run(promotions)
-        return chaos
+        events = RandomEvents(group, seed)
+        await events.run(promotions)
+        return events
     finally:
         await group.stop()
 
@@ -188,5 +188,5 @@
     async def test_logs_match_through_random_promotions(self):
         for seed in (1, 2):
             with self.subTest(seed=seed):
-                chaos = await run_chaos(seed, PROMOTIONS)
-                self.assertGreater(chaos.diverged, 0)
+                events = await run_random_events(seed, PROMOTIONS)
+                self.assertGreater(events.diverged, 0)
--- a/redwingpost/standin/transactions.py
+++ b/redwingpost/standin/transactions.py
@@ -40,7 +40,7 @@
 
     def read(self, sql: str, parameters: tuple) -> Cursor:
         """Run a read, in the open transaction's snapshot if there is one."""
-        self.check()
+        self.raise_if_fenced()
         if self.is_open and not self._is_reading and not self.is_writing:
             self.store.execute("BEGIN")
             self._is_reading = True
@@ -55,7 +55,7 @@
             1205 if the lock wasn't acquired in time, 1290 if the member
             is no longer the primary.
         """
-        self.check()
+        self.raise_if_fenced()
         if self.is_writing:
             return
         lock = self.member.writer_lock
@@ -83,7 +83,7 @@
         await between them, so that both have the same order of
         transactions.
         """
-        self.check()
+        self.raise_if_fenced()
         self.is_open = False
         self._end_reads()
         if not self.is_writing:
@@ -117,7 +117,7 @@
         self.rollback()
         self.is_fenced = was_open
 
-    def check(self) -> None:
+    def raise_if_fenced(self) -> None:
         """Raise 1290, once, if the transaction was undone by a fence."""
         if self.is_fenced:
             self.is_fenced = False
