--- a/examples/tour.py
+++ b/examples/tour.py
@@ -1,4 +1,4 @@
-"""The tour of the README: write once, read your own write anywhere."""
+"""The tour of the README: a deduplicated write, then reads of it."""
 
 from asyncio import run, sleep
 from sys import argv
@@ -6,8 +6,8 @@
 from asyncmy import Connection, connect
 from asyncmy.errors import OperationalError
 
-#: Seconds until the proxy started in the background must answer.
-START_LIMIT_S = 20.0
+#: Timeout until the proxy accepts connections, in seconds.
+START_TIMEOUT_S = 20.0
 
 CREATE = (
     "CREATE TABLE IF NOT EXISTS orders"
@@ -21,8 +21,8 @@
 
 
 async def dial(host: str, port: int) -> Connection:
-    """Connect as an organisation, as soon as the proxy is up."""
-    waited = 0.0
+    """Connect as an organisation as soon as the proxy accepts connections."""
+    waited_s = 0.0
     while True:
         try:
             return await connect(
@@ -34,13 +34,13 @@
                 autocommit=True,
             )
         except OperationalError:
-            if waited > START_LIMIT_S:
+            if waited_s > START_TIMEOUT_S:
                 raise
             await sleep(0.2)
-            waited += 0.2
+            waited_s += 0.2
 
 
-async def ask(connection: Connection, sql: str) -> list:
+async def run_query(connection: Connection, sql: str) -> list:
     """Run a statement and return its rows."""
     async with connection.cursor() as cursor:
         await cursor.execute(sql)
@@ -48,17 +48,17 @@
 
 
 async def main(host: str, port: int) -> None:
-    """Order twice, see one order, read it with a token."""
+    """Send an order twice, count the orders, read them in a new session."""
     connection = await dial(host, port)
-    await ask(connection, CREATE)
-    await ask(connection, ORDER)
-    await ask(connection, ORDER)
-    print("orders:", len(await ask(connection, "SELECT id FROM orders")))
-    token = (await ask(connection, "SELECT @@redwing_token"))[0][0]
+    await run_query(connection, CREATE)
+    await run_query(connection, ORDER)
+    await run_query(connection, ORDER)
+    print("orders:", len(await run_query(connection, "SELECT id FROM orders")))
+    token = (await run_query(connection, "SELECT @@redwing_token"))[0][0]
     other = await dial(host, port)
-    marked = f"/* redwing: token={token} */ SELECT kits FROM orders"
-    print("read elsewhere:", await ask(other, marked))
-    print("read of a stated age:", await ask(other, TOLERANT))
+    read_with_token = f"/* redwing: token={token} */ SELECT kits FROM orders"
+    print("read elsewhere:", await run_query(other, read_with_token))
+    print("read of a stated age:", await run_query(other, TOLERANT))
     connection.close()
     other.close()
 
