--- a/redwingpost/adapters/tests/test_fuzz_packets.py
+++ b/redwingpost/adapters/tests/test_fuzz_packets.py
@@ -204,7 +204,7 @@
 
         run(run_attack(attack))
 
-    def test_strangers_reach_no_statement(self):
+    def test_unauthenticated_clients_run_no_statement(self):
         async def attack(port):
             random = Random(1)
             for _ in range(GREETINGS):
@@ -212,7 +212,7 @@
 
         self.assertEqual(run(run_attack(attack)), 0)
 
-    def test_callers_packets(self):
+    def test_malformed_packets_of_authenticated_callers(self):
         async def attack(port):
             await send_garbage_commands(port, Random(2), COMMANDS)
 
--- a/redwingpost/adapters/tests/test_fuzz_peer.py
+++ b/redwingpost/adapters/tests/test_fuzz_peer.py
@@ -64,7 +64,7 @@
 
 
 class FuzzPeerTest(TestCase):
-    def test_noise_ends_its_own_connection(self):
+    def test_malformed_message_ends_only_its_connection(self):
         answer = run(serve_under_attack())
         # The server has no interfaces; its answer shows that it still
         # runs.
--- a/redwingpost/adapters/tests/test_peer.py
+++ b/redwingpost/adapters/tests/test_peer.py
@@ -91,7 +91,7 @@
         await server.stop()
 
     @in_kj_loop
-    async def test_a_call_is_given_up_at_its_deadline(self):
+    async def test_a_call_times_out_at_its_deadline(self):
         # A peer is paused by its hypervisor. Without a timeout the
         # caller's heartbeats would wait for it, and the caller would
         # miss those of all other VMs.
@@ -168,10 +168,10 @@
         return answer
 
     @in_kj_loop
-    async def test_only_the_fleets_certificates_count(self):
-        # A stranger on the same network dials an agent without TLS or
-        # with a certificate of another authority. It must not be able to
-        # read the configuration or to withdraw a key.
+    async def test_certificates_of_other_authorities_are_refused(self):
+        # Another program on the same network connects to an agent without
+        # TLS or with a certificate of another authority. It must not be
+        # able to read the configuration or to withdraw a key.
         server = await serve(self.contexts(self.fleet_authority, "server"))
         fleet_peer = self.contexts(self.fleet_authority, "mate")
         stranger = self.contexts(Authority("other"), "stranger")
--- a/redwingpost/adapters/tests/test_platform_http.py
+++ b/redwingpost/adapters/tests/test_platform_http.py
@@ -56,7 +56,7 @@
 
 
 class LostAnswerTest(TestCase):
-    def test_what_a_failed_change_says(self):
+    def test_result_code_of_a_failed_change(self):
         # The platform refuses a change, or fails before or after it took
         # effect. If a change that took effect is reported as refused, an
         # operator would submit it twice; so it may be reported only if
@@ -81,7 +81,7 @@
                 result = run(call_platform(sent, transact))
                 self.assertEqual(result.error.code, code)
 
-    def test_a_silent_platform(self):
+    def test_an_unanswered_change_has_an_unknown_outcome(self):
         result = run(call_platform(None, transact, timeout_s=0.2))
         self.assertEqual(result.error.code, Code.STORE_OUTCOME_UNKNOWN)
 
--- a/redwingpost/admission/tests/test_breaker.py
+++ b/redwingpost/admission/tests/test_breaker.py
@@ -17,8 +17,8 @@
     return None
 
 
-class LeaveTest(TestCase):
-    def test_a_slow_target_is_left_within_a_second(self):
+class OpenTest(TestCase):
+    def test_slow_target_opens_the_breaker_within_a_second(self):
         # A replica with a failing disk takes five times as long. Unless
         # the breaker opens, callers see its latency.
         for rate in (10, 50, 200):
@@ -28,13 +28,13 @@
                 opened = _serve(breaker, 5.0, rate, 5.0, latency_ratio=5.0)
                 self.assertLessEqual(opened - 5.0, 1.0)
 
-    def test_lost_answers_open_it(self):
+    def test_failures_open_the_breaker(self):
         breaker = TargetBreaker()
         for _ in range(3):
             breaker.record_failure(1.0)
         self.assertEqual(breaker.share(1.0), 0.0)
 
-    def test_a_hanging_target_is_left_without_an_answer(self):
+    def test_stalled_target_opens_the_breaker_without_an_answer(self):
         # The member's VM is suspended: statements neither fail nor end, so
         # no recorded answer could open the breaker.
         breaker = TargetBreaker()
@@ -43,21 +43,21 @@
         breaker.check_stall(1.2, oldest_age_s=0.4, typical_s=0.01)
         self.assertEqual(breaker.state, State.OPEN)
 
-    def test_ordinary_swings_do_not_open_it(self):
+    def test_ordinary_latency_variation_keeps_it_closed(self):
         breaker = TargetBreaker()
         for number in range(1000):
             breaker.record_success(number * 0.01, 1.0 if number % 3 else 4.0)
         self.assertEqual(breaker.state, State.CLOSED)
 
 
-class ReturnTest(TestCase):
+class HalfOpenTest(TestCase):
     def _opened(self):
         breaker = TargetBreaker()
         for _ in range(3):
             breaker.record_failure(0.0)
         return breaker
 
-    def test_probes_are_few(self):
+    def test_probes_are_limited(self):
         breaker = self._opened()
         probes = sum(breaker.take_probe(t / 100) for t in range(1000))
         self.assertLessEqual(probes, 20)
@@ -68,7 +68,7 @@
             breaker.record_success(float(number), 10.0)
         self.assertEqual(breaker.state, State.OPEN)
 
-    def test_the_share_grows(self):
+    def test_share_grows_after_successful_probes(self):
         breaker = self._opened()
         for number in range(3):
             breaker.record_success(1.0 + number / 10, 1.0)
@@ -79,7 +79,7 @@
 
 
 class NoiseTest(TestCase):
-    def test_noise_common_to_all_members_opens_none(self):
+    def test_latency_noise_common_to_all_members_opens_no_breaker(self):
         # On a VM that is short of processor time every statement takes one
         # to six times as long, whichever member answers. If the breakers
         # of all replicas opened, their reads would overload the primary.
--- a/redwingpost/admission/tests/test_full_target.py
+++ b/redwingpost/admission/tests/test_full_target.py
@@ -24,7 +24,7 @@
 
 
 class LimitTest(TestCase):
-    def test_one_vm_finds_the_five_slots(self):
+    def test_limit_of_one_vm_converges_to_the_slots(self):
         # All callers use one VM. With a limit below five, slots idle while
         # callers wait.
         jobs = evenly_spaced("a", 2 * _CAPACITY_PER_S, 10, deadline_s=0.5)
@@ -51,7 +51,7 @@
         )
         self.assertTrue(5 <= total <= 18, total)
 
-    def test_a_slower_target_is_followed(self):
+    def test_limit_adapts_to_a_slower_target(self):
         # Maintenance makes the target four times slower for ten seconds.
         # If the limit stayed the same, statements would queue inside it.
         jobs = evenly_spaced("a", 400, 20, deadline_s=1.0)
@@ -103,7 +103,7 @@
                     self._goodput(factor, naive=True), 0.5 * _CAPACITY_PER_S
                 )
 
-    def test_refusals_come_at_once(self):
+    def test_refusals_are_immediate(self):
         # A request that can't be served in time must be refused on
         # arrival with a retry-after time, not after its whole deadline.
         jobs = evenly_spaced("a", 4 * _CAPACITY_PER_S, 5, deadline_s=1.0)
@@ -129,7 +129,7 @@
         responses = TargetSimulation(controllers).run(jobs)
         return {name: len(in_time(responses, name)) / 900 for name in "abcd"}
 
-    def test_others_do_not_notice_a_flood(self):
+    def test_flood_of_one_organisation_does_not_delay_others(self):
         # One organisation sends four times the capacity. Without fair
         # queueing the requests of the others time out behind it.
         self.assertGreaterEqual(min(self._served().values()), 0.99)
--- a/redwingpost/agent/diverged.py
+++ b/redwingpost/agent/diverged.py
@@ -80,7 +80,7 @@
     ) -> bool:
         first, last = new[0][0], new[-1][0]
         logger.warning(
-            "{} discarded {} diverged statements, positions {} to {}",
+            "{} set aside {} diverged statements, positions {} to {}",
             member,
             len(new),
             first,
--- a/redwingpost/agent/tests/test_cuts.py
+++ b/redwingpost/agent/tests/test_cuts.py
@@ -53,7 +53,7 @@
 
 class CutTest(TestCase):
     @in_kj_loop
-    async def test_a_data_centre_cut_off_from_everyone(self):
+    async def test_an_isolated_data_centre(self):
         # The only VM of a data centre loses its links to all others and
         # to the store. It continues with its last state. It can't receive
         # a withdrawal, so its keys must become unconfirmed while those of
@@ -84,7 +84,7 @@
         faults.uninstall()
 
     @in_kj_loop
-    async def test_a_vm_that_can_be_reached_but_reaches_nobody(self):
+    async def test_a_vm_with_inbound_connections_only(self):
         # With a wrong firewall rule the VM can't dial other VMs or the
         # store, but can be dialled. News must reach it through the calls
         # of other VMs, and it must not be marked gone.
@@ -116,7 +116,7 @@
 
 class AllReplacedTest(TestCase):
     @in_kj_loop
-    async def test_with_the_store_up(self):
+    async def test_while_the_store_is_available(self):
         # All VMs are replaced at once. Only the store's contents are
         # left, from which the new VMs must recover.
         fleet = TestFleet(SIX, net=51)
@@ -129,7 +129,7 @@
         await fleet.stop()
 
     @in_kj_loop
-    async def test_with_the_store_away(self):
+    async def test_during_a_store_outage(self):
         # All VMs are replaced during an outage of the store, so none has
         # a configuration. They must stay unready, so that the balancer
         # sends them no callers, and become ready once the store is back.
--- a/redwingpost/agent/tests/test_fleet.py
+++ b/redwingpost/agent/tests/test_fleet.py
@@ -33,7 +33,7 @@
 
 class FleetTest(TestCase):
     @in_kj_loop
-    async def test_a_version_reaches_everyone(self):
+    async def test_a_version_reaches_all_agents(self):
         # The operator's tool writes a version to the store and crashes
         # before it notifies an agent. Relays must find it by polling.
         fleet = TestFleet(SIX, net=41)
@@ -47,7 +47,7 @@
         await fleet.stop()
 
     @in_kj_loop
-    async def test_the_store_goes_away(self):
+    async def test_withdrawal_and_replaced_vm_in_a_store_outage(self):
         # During an outage of the store an operator withdraws a key and a
         # VM is replaced. The withdrawal must reach all agents, the new VM
         # must get configuration and withdrawal from a peer, and the
@@ -94,7 +94,7 @@
 
 class FeedTest(TestCase):
     @in_kj_loop
-    async def test_a_proxy_is_told_only_what_is_new(self):
+    async def test_feed_contains_only_changes(self):
         fleet = TestFleet({"vm-1": "dc-1"}, net=44)
         await fleet.submit(BODY, 0)
         await fleet.start()
--- a/redwingpost/agent/tests/test_promoter.py
+++ b/redwingpost/agent/tests/test_promoter.py
@@ -123,7 +123,7 @@
         await observed.stop()
 
     @in_kj_loop
-    async def test_pause_of_300_ms_orders_nothing(self):
+    async def test_pause_of_300_ms_causes_no_promotion(self):
         # A primary pauses briefly, as during a live migration. A needless
         # promotion would stop all callers' writes for a second.
         observed = ObservedGroup(net=52)
@@ -163,7 +163,7 @@
         await observed.stop()
 
     @in_kj_loop
-    async def test_dead_proposer_leaves_no_group_behind(self):
+    async def test_claims_of_a_crashed_proposer_are_superseded(self):
         # An agent claims a term at every member and crashes. The members
         # answer, but accept no writes until another agent promotes one.
         observed = ObservedGroup(net=54)
@@ -178,9 +178,9 @@
         await observed.stop()
 
     @in_kj_loop
-    async def test_leaving_primary_hands_over(self):
+    async def test_draining_primary_is_replaced(self):
         # An operator drains the primary. It must not accept writes for
-        # long, and no caller may lose a write in the hand-over.
+        # long, and no caller may lose a write in the takeover.
         observed = ObservedGroup(net=55)
         await observed.start()
         body = configuration(observed.group, [f"{GROUP}-a"])
--- a/redwingpost/agent/tests/test_shares.py
+++ b/redwingpost/agent/tests/test_shares.py
@@ -98,7 +98,7 @@
         self._run_for(2)
         self.assertEqual(self._parts, TOTAL_PARTS // 2)
 
-    def test_a_store_outage_takes_no_part_away(self):
+    def test_a_store_outage_keeps_the_claimed_parts(self):
         # The platform's store is unavailable for half a minute, and each
         # call to it hangs for two seconds. No grant can change meanwhile,
         # so callers within their rates must not be refused.
--- a/redwingpost/cli/tests/test_docs.py
+++ b/redwingpost/cli/tests/test_docs.py
@@ -33,7 +33,7 @@
 
 
 class ResultCodesTest(TestCase):
-    def test_page_is_the_registry(self):
+    def test_page_contains_the_registered_codes(self):
         page = (DOCS / "RESULT-CODES.md").read_text()
         self.assertIn(render_code_table(), page)
 
--- a/redwingpost/configuration/tests/test_fuzz_configuration.py
+++ b/redwingpost/configuration/tests/test_fuzz_configuration.py
@@ -70,7 +70,7 @@
             self.assertEqual(read.error.code, Code.CONFIG_INVALID)
         return read
 
-    def test_good_one_is_taken(self):
+    def test_valid_body_is_accepted(self):
         self.assertTrue(self.check(dumps(GOOD).encode()).is_ok())
 
     @fuzz(750)
@@ -85,7 +85,7 @@
 
     @fuzz(1000)
     @given(integers(0, len(JSON_PATHS) - 1), ACTIONS, JSON_VALUES)
-    def test_one_thing_wrong(self, number, action, value):
+    def test_one_invalid_entry(self, number, action, value):
         """One entry of a good body is replaced, removed or renamed."""
         changed = deepcopy(GOOD)
         *path, last = JSON_PATHS[number]
--- a/redwingpost/configuration/tests/test_keys.py
+++ b/redwingpost/configuration/tests/test_keys.py
@@ -26,7 +26,7 @@
 
 
 class KeyRingTest(TestCase):
-    def test_who_is_honoured(self):
+    def test_which_keys_are_accepted(self):
         ring = make_ring()
         table = [
             (PUNO, FIRST, None),
@@ -43,7 +43,7 @@
                 refusal = ring.check(organisation, key_hash, now=1.0)
                 self.assertEqual(refusal and refusal.code, code)
 
-    def test_an_older_copy_never_brings_a_key_back(self):
+    def test_older_configuration_does_not_restore_a_withdrawn_key(self):
         # A peer that was partitioned sends an old configuration, in
         # which the key is granted and not withdrawn. If its withdrawals
         # replaced the known ones, the key would be accepted again.
@@ -56,7 +56,7 @@
         )
         self.assertFalse(ring.withdraw([Withdrawal(PUNO, FIRST)]))
 
-    def test_keys_go_unconfirmed_for_so_long_only(self):
+    def test_keys_are_refused_after_the_confirmation_limit(self):
         # The VM is partitioned from all others, so that withdrawals
         # can't reach it. Callers are refused after the confirmation
         # limit, and served again after the next confirmation.
--- a/redwingpost/configuration/tests/test_log.py
+++ b/redwingpost/configuration/tests/test_log.py
@@ -49,7 +49,7 @@
     def submit(self, *args, **kwargs):
         return run(self.log.submit(change(*args, **kwargs)))
 
-    def test_versions_grow_and_leave_an_audit_trail(self):
+    def test_versions_increase_and_are_audited(self):
         self.assertEqual(self.submit().ok.version, 1)
         accepted = self.submit(FASTER, 1, "s-2", who="eva").ok
         self.assertEqual(accepted.version, 2)
@@ -75,11 +75,11 @@
             )
 
         results = run(both())
-        winners = [r for r in results if r.is_ok()]
-        losers = [r for r in results if r.is_error()]
-        self.assertEqual((len(winners), len(losers)), (1, 1))
-        self.assertEqual(losers[0].error.code, Code.CONFIG_CONFLICT)
-        self.assertIn("rebase on version 2", losers[0].error.detail)
+        accepted_results = [r for r in results if r.is_ok()]
+        refused_results = [r for r in results if r.is_error()]
+        self.assertEqual((len(accepted_results), len(refused_results)), (1, 1))
+        self.assertEqual(refused_results[0].error.code, Code.CONFIG_CONFLICT)
+        self.assertIn("rebase on version 2", refused_results[0].error.detail)
 
     def test_lost_answers(self):
         # The store commits a change and its answer is lost, or the
@@ -134,7 +134,7 @@
         again = self.submit(FASTER, 1, "ana-1").ok
         self.assertEqual((again.version, again.again), (2, True))
 
-    def test_what_is_refused_leaves_nothing(self):
+    def test_refused_submissions_are_not_recorded(self):
         self.submit()
         table = [
             (b"{}", 1, Code.CONFIG_INVALID),
@@ -147,7 +147,7 @@
                 self.assertEqual(refused.error.code, code)
         self.assertEqual(len(run(self.log.audit()).ok), 1)
 
-    def test_store_away(self):
+    def test_store_is_unavailable(self):
         self.store.unavailable = True
         self.assertEqual(self.submit().error.code, Code.STORE_UNAVAILABLE)
 
--- a/redwingpost/configuration/tests/test_parse.py
+++ b/redwingpost/configuration/tests/test_parse.py
@@ -66,7 +66,7 @@
         self.assertEqual(configuration.kind("order").unconfirmed, "accept")
         self.assertEqual(configuration.kind("other").cost, 1.0)
 
-    def test_faults_are_named(self):
+    def test_errors_name_the_entry(self):
         twin = {"connections": 1, "members": GOOD["groups"]["catalogue-1"]}
         table = [
             (PUNO + ("groups",), ["catalog-1"], "mean 'catalogue-1'?"),
@@ -118,7 +118,7 @@
             with self.subTest(body=body[:8]):
                 self.assertTrue(parse_configuration(body).is_error())
 
-    def test_a_pasted_key_is_not_repeated(self):
+    def test_errors_do_not_contain_a_plaintext_key(self):
         keys = [{"name": "a", "hash": "my-very-own-key"}]
         body = with_change(PUNO + ("keys",), keys)
         refusal = parse_configuration(body).error
--- a/redwingpost/configuration/tests/test_spread.py
+++ b/redwingpost/configuration/tests/test_spread.py
@@ -20,7 +20,7 @@
 
 
 class ConfigurationStateTest(TestCase):
-    def test_versions_never_go_back(self):
+    def test_version_never_decreases(self):
         # Copies arrive in any order, from the store and from peers with
         # older or newer versions. A VM that took an older version would
         # apply an old rate or accept an old key again.
@@ -33,7 +33,7 @@
                 self.assertEqual(versions, sorted(versions))
                 self.assertEqual(state.version, 3)
 
-    def test_what_is_not_taken(self):
+    def test_which_copies_are_refused(self):
         state = ConfigurationState()
         state.offer(version(2))
         good = version(3)
@@ -50,7 +50,7 @@
                 self.assertEqual(state.offer(copy), expected)
                 self.assertEqual(state.version, 2)
 
-    def test_withdrawals_run_ahead_of_versions(self):
+    def test_withdrawal_applies_before_a_version_records_it(self):
         # While the store is unavailable, a withdrawal spreads without a
         # version. It must stay in force when a version arrives that
         # doesn't record it yet.
@@ -62,7 +62,7 @@
         self.assertIn(key, state.withdrawn)
         self.assertEqual(state.unrecorded(), {key})
 
-    def test_marks_tell_sets_apart(self):
+    def test_checksums_of_different_withdrawals_differ(self):
         a, b = Withdrawal("a", "1"), Withdrawal("b", "2")
         marks = {checksum_withdrawals(s) for s in ([], [a], [b], [a, b])}
         self.assertEqual(len(marks), 4)
--- a/redwingpost/core/tests/test_core.py
+++ b/redwingpost/core/tests/test_core.py
@@ -17,7 +17,7 @@
     def test_numbers_and_names_are_unique(self):
         self.assertEqual(len(CODES_BY_NAME), len(CODES_BY_NUMBER))
 
-    def test_numbers_stay_clear_of_mysql(self):
+    def test_numbers_do_not_overlap_with_mysql_errors(self):
         for number in CODES_BY_NUMBER:
             with self.subTest(number=number):
                 self.assertTrue(20000 <= number <= 65535)
--- a/redwingpost/groups/tests/test_choice.py
+++ b/redwingpost/groups/tests/test_choice.py
@@ -21,7 +21,7 @@
 
 
 class RankTest(TestCase):
-    def test_who_comes_first(self) -> None:
+    def test_order_of_candidates(self) -> None:
         cases = (
             ("replica before primary", _REPLICA, _PRIMARY),
             ("fast before slow", _REPLICA, _REPLICA._replace(smoothed_s=0.2)),
@@ -51,7 +51,7 @@
                 ]
                 self.assertEqual(["1", "2"], rank(candidates))
 
-    def test_a_slow_replica_takes_a_small_part(self) -> None:
+    def test_slow_replica_gets_few_reads(self) -> None:
         """Guards against an even spread when one of two replicas slows down.
 
         Every second read would be late. The slow one gets a read only when
@@ -68,7 +68,7 @@
 
 
 class LatencyTest(TestCase):
-    def test_late_is_far_above_usual(self) -> None:
+    def test_hedge_delay_is_above_the_usual_latency(self) -> None:
         tracker = LatencyTracker()
         for number in range(200):
             tracker.observe(0.02 + 0.01 * (number % 3), now=number * 0.1)
@@ -76,7 +76,7 @@
         self.assertLess(tracker.late_after_s, 0.12)
         self.assertGreaterEqual(tracker.late_after_s, HEDGE_FLOOR_S)
 
-    def test_a_time_is_forgotten(self) -> None:
+    def test_measurement_expires(self) -> None:
         """Guards against a member that gets no reads after one slow answer.
 
         Without an expiry no measurement would show that it has recovered.
@@ -88,7 +88,7 @@
 
 
 class DirectoryTest(TestCase):
-    def test_a_removal_counts_at_once_while_the_registry_is_well(self):
+    def test_removal_applies_at_once_without_an_outage(self):
         directory = Directory()
         directory.put(_entry("m"), 1.0)
         directory.remove("m", 2.0)
@@ -116,8 +116,8 @@
                 left = len(directory.members_of("g"))
                 self.assertEqual(int(comes_back), left)
 
-    def test_whom_a_removal_leaves_for_a_moment(self) -> None:
-        """Guards against an outage that no failed registry call shows."""
+    def test_removed_member_that_answers_is_kept_for_a_while(self) -> None:
+        """Guards against dropping live members in an undetected outage."""
         cases = (
             ("answers", True, False, True),
             ("fails", False, False, False),
@@ -133,14 +133,14 @@
                 directory.expire(2.0 + REREGISTRATION_S)
                 self.assertEqual((), directory.members_of("g"))
 
-    def test_leaving_is_counted_from_when_it_was_first_seen(self) -> None:
+    def test_drain_time_counts_from_its_first_observation(self) -> None:
         directory = Directory()
         directory.put(_entry("m"), 1.0)
         for now in (2.0, 3.0):
             directory.put(_entry("m", is_draining=True), now)
         self.assertEqual(2.0, directory.get("m").draining_since)
 
-    def test_leaving_that_nobody_here_saw_begin(self) -> None:
+    def test_drain_whose_start_was_not_observed(self) -> None:
         """Guards against new work for a member that is about to exit.
 
         A VM restarts, or was partitioned, while a member drains. If the
@@ -164,8 +164,8 @@
                 since = directory.get("m").draining_since
                 self.assertEqual(is_unknown, since < 0.0)
 
-    def test_who_has_restarted_while_off_the_list(self) -> None:
-        """Guards against distrusting replicas whose entries only lapsed."""
+    def test_restart_between_removal_and_return(self) -> None:
+        """Guards against treating expired entries as restarted replicas."""
         cases = (
             ("same start time", 5, 5, False),
             ("other start time", 5, 6, True),
--- a/redwingpost/groups/tests/test_confirmation.py
+++ b/redwingpost/groups/tests/test_confirmation.py
@@ -23,8 +23,8 @@
 _HEALTHY = TakeoverSigns(False, 0.0, False, 60.0)
 
 
-class SignsTest(TestCase):
-    def test_signs_that_a_takeover_may_be_under_way(self) -> None:
+class PossibleTakeoverTest(TestCase):
+    def test_signs_of_a_possible_takeover(self) -> None:
         cases = (
             ("healthy", _HEALTHY, False, False),
             (
--- a/redwingpost/groups/tests/test_evidence.py
+++ b/redwingpost/groups/tests/test_evidence.py
@@ -25,7 +25,7 @@
         self.evidence = GroupEvidence()
         self.evidence.note_report("p", _report(True, 3, 9), 1.0)
 
-    def test_what_a_replica_proves(self) -> None:
+    def test_which_reports_prove_the_primary(self) -> None:
         """Guards against stale reads at a primary that was replaced.
 
         It has not noticed, so its reads miss what the new primary
@@ -44,13 +44,13 @@
             with self.subTest(name):
                 self.assertEqual(expected, self.evidence.is_proof(report))
 
-    def test_a_newer_term_deposes(self) -> None:
+    def test_a_newer_term_removes_the_leader(self) -> None:
         self.evidence.note_report("r", _report(False, 4, 9), 2.0)
         self.assertIsNone(self.evidence.leader)
         self.evidence.note_report("q", _report(True, 4, 9), 2.1)
         self.assertEqual("q", self.evidence.leader)
 
-    def test_a_late_report_changes_nothing(self) -> None:
+    def test_a_late_report_is_ignored(self) -> None:
         self.evidence.note_report("p", _report(False, 3, 9), 5.0)
         self.evidence.note_report("p", _report(True, 3, 9), 4.0)
         self.assertIsNone(self.evidence.leader)
@@ -80,7 +80,7 @@
         self.evidence.note_report("q", _report(True, 4, 10), 3.0)
         self.assertIsNone(self.evidence.sample_since(1.0))
 
-    def test_what_a_successor_must_hold(self) -> None:
+    def test_position_that_a_new_primary_must_hold(self) -> None:
         """Guards against promoting a replica that lacks acknowledged writes.
 
         A primary crashes permanently while one replica receives nothing.
@@ -103,7 +103,7 @@
                     evidence.note_report("q", report, float(requested_at))
                 self.assertEqual(expected, evidence.floor)
 
-    def test_a_successor_must_hold_what_was_acknowledged_here(self) -> None:
+    def test_new_primary_must_hold_locally_acknowledged_commits(self) -> None:
         self.evidence.note_commit("p", Position(3, 12), 2.0)
         began_with = _report(True, 4, 10)._replace(received=Position(3, 10))
         self.evidence.note_report("q", began_with, 3.0)
--- a/redwingpost/groups/tests/test_probing.py
+++ b/redwingpost/groups/tests/test_probing.py
@@ -16,8 +16,8 @@
 _NEVER = float("inf")
 
 
-class QuestionsTest(TestCase):
-    def test_statements_that_wait_in_vain(self) -> None:
+class ProbeTimingTest(TestCase):
+    def test_overdue_statement_triggers_a_probe(self) -> None:
         """Guards against callers that wait for their whole timeout.
 
         A network partition drops what is sent to a member, and no VM probes
@@ -35,7 +35,7 @@
                 silence = MemberSilence(5.0, probed_s, _NEVER, waiting_s)
                 self.assertEqual(expected, is_overdue(silence))
 
-    def test_one_vm_probes_for_all(self) -> None:
+    def test_one_vm_probes_an_idle_primary(self) -> None:
         """Guards against probes of an idle group's primary by every VM.
 
         The primary would answer more probes than it ever runs statements.
@@ -59,7 +59,7 @@
                 silence = MemberSilence(answered_s, _NEVER, elsewhere_s, 0.0)
                 self.assertEqual(expected, is_primary_probe_due(silence, rank))
 
-    def test_how_many_probe_a_suspect_group(self) -> None:
+    def test_probe_rate_of_a_suspect_group_is_bounded(self) -> None:
         """Guards against members that answer nothing but probes.
 
         In a fleet of 200 VMs a primary fails, or is only full. If all VMs
--- a/redwingpost/leases/tests/test_duty.py
+++ b/redwingpost/leases/tests/test_duty.py
@@ -28,12 +28,12 @@
                 if claimed:
                     self.assertEqual(now_ms + DUTY_MS, claimed.until_ms)
 
-    def test_rows_of_another_writer_are_nobodys(self) -> None:
+    def test_unreadable_rows_have_no_holder(self) -> None:
         for value in (None, 3, {}, {"holder": "a"}, {"fence": "x"}):
             with self.subTest(value=value):
                 self.assertEqual("", DutyRow.from_value(value).holder)
 
-    def test_a_suspended_holder_orders_nothing(self) -> None:
+    def test_suspended_holder_may_not_order_a_promotion(self) -> None:
         """A VM is suspended between claiming the duty and its order.
 
         Another VM holds the duty when it resumes; its order would carry
--- a/redwingpost/leases/tests/test_leases.py
+++ b/redwingpost/leases/tests/test_leases.py
@@ -20,7 +20,7 @@
 
 
 class LeaseKeeperTest(TestCase):
-    def test_it_lapses_at_the_holder_first(self):
+    def test_lease_expires_at_the_holder_first(self):
         # The store answers slowly: the holder's request was sent at 0,
         # the other VM sees the row at 0 at the earliest. If the holder
         # counted from its answer, both could act at the same time.
@@ -37,7 +37,7 @@
                     both = holder.is_held(now) and step is LeaseStep.CLAIM
                     self.assertFalse(both)
 
-    def test_a_paused_holder_knows_when_it_wakes(self):
+    def test_lease_expires_while_the_holder_is_paused(self):
         # The hypervisor pauses the VM for a minute in the middle of its
         # work. If it continued afterwards, there would be two relays.
         holder = new_keeper()
@@ -62,7 +62,7 @@
         self.assertEqual(other.next_step(6.1, True), LeaseStep.CLAIM)
         self.assertEqual(row_of(other, 6.1, 3).value["term"], 2)
 
-    def test_a_lost_answer_is_read_back(self):
+    def test_claim_with_a_lost_answer_is_read_back(self):
         # The claim took effect and its answer was lost. Reading the row
         # shows this; the validity counts from the request, not from the
         # read.
@@ -91,7 +91,7 @@
         self.assertTrue(holder.is_held(3.9))
         self.assertFalse(holder.is_held(4.0))
 
-    def test_a_claim_that_lost(self):
+    def test_refused_claim_of_a_held_lease(self):
         first, second = new_keeper("vm-1"), new_keeper("vm-2")
         for claimant in (first, second):
             claimant.observe(None, answered_at=0.0)
@@ -102,7 +102,7 @@
         self.assertEqual(second.holder, "vm-1")
         self.assertEqual(second.next_step(0.3, True), LeaseStep.READ)
 
-    def test_an_earlier_incarnation_is_somebody_else(self):
+    def test_lease_of_an_earlier_incarnation_must_expire(self):
         # The VM was replaced under the same name; its predecessor may
         # still be running, so the lease has to expire first.
         fresh = new_keeper(incarnation=8)
@@ -110,5 +110,5 @@
         self.assertFalse(fresh.is_held(1.0))
         self.assertEqual(fresh.next_step(2.0, True), LeaseStep.READ)
 
-    def test_a_vm_that_should_not_hold_it(self):
+    def test_unwanted_lease_is_not_claimed(self):
         self.assertEqual(new_keeper().next_step(0.0, False), LeaseStep.REST)
--- a/redwingpost/membership/tests/test_digests.py
+++ b/redwingpost/membership/tests/test_digests.py
@@ -41,7 +41,7 @@
                 table.note(digest, now=1.1)
                 self.assertEqual(_ALL, self._vms(table, 1.1))
 
-    def test_a_lost_message(self) -> None:
+    def test_digest_whose_set_was_lost(self) -> None:
         table = DigestTable()
         table.note(_digest("first", _ALL), now=1.0)
         table.note(_digest("second", frozenset({1})), now=1.0)
--- a/redwingpost/membership/tests/test_dissemination.py
+++ b/redwingpost/membership/tests/test_dissemination.py
@@ -91,7 +91,7 @@
                     self.assertEqual(set(hops), set(beats))
                     self.assertLessEqual(max(hops.values()), 3)
 
-    def test_a_change_passes_dead_relays(self):
+    def test_a_change_reaches_all_vms_despite_dead_relays(self):
         # Relays are paused when a key is withdrawn. The withdrawal must
         # reach their data centres all the same, or the caller is still
         # served there until another VM has taken the relay role.
@@ -119,7 +119,7 @@
 
 
 class BeatCursorsTest(TestCase):
-    def test_messages_stay_bounded_and_bring_everything(self):
+    def test_bounded_messages_deliver_all_heartbeats(self):
         beats = fleet(14, 72)
         table = table_of("vm-0-0", beats)
         cursors, received, messages = BeatCursors(), set(), 0
@@ -132,7 +132,7 @@
             messages += 1
         self.assertLessEqual(messages, 16)
 
-    def test_a_lost_message_is_repaired_in_turn(self):
+    def test_heartbeats_of_a_lost_message_are_sent_again(self):
         beats = fleet(1, 6)
         table, cursors = table_of("vm-0-0", beats), BeatCursors()
         cursors.next_beats(table, "vm-0-1")
--- a/redwingpost/membership/tests/test_gathering.py
+++ b/redwingpost/membership/tests/test_gathering.py
@@ -44,7 +44,7 @@
         self.assertEqual(1, len(chosen))
         self.assertEqual(GATHERERS, len(chosen.pop()))
 
-    def test_small_fleets_have_none(self) -> None:
+    def test_small_fleets_have_no_gatherers(self) -> None:
         cases = ((7, 3, True), (18, 6, True), (18, 3, False), (62, 3, False))
         for vms, centres, expected in cases:
             with self.subTest(vms=vms, centres=centres):
@@ -69,7 +69,7 @@
 
         If its VMs kept reporting to it alone, they would get no digests of
         the fleet; if it weren't retried, the next gatherer would do its
-        work for ever.
+        work permanently.
         """
         gathering = _gathering("vm-0")
         if gathering.gathers(0.0):
--- a/redwingpost/membership/tests/test_membership.py
+++ b/redwingpost/membership/tests/test_membership.py
@@ -82,7 +82,7 @@
                 result = table.merge(item, 2.0, BeatSource.DIRECT)
                 self.assertEqual(result, changed)
 
-    def test_the_list_lags(self):
+    def test_outdated_vm_list(self):
         # The platform's list still holds a VM that left and lacks one
         # that has just started. Heartbeats take precedence: a listed VM
         # without any has only an address, and one that sends them is
@@ -103,7 +103,7 @@
         self.assertNotIn("old", table.by_vm)
         self.assertNotIn("new", table.by_vm)
 
-    def test_marks_tell_tables_apart(self):
+    def test_checksums_of_different_tables_differ(self):
         # An answer with a change of a VM is lost. If the checksums were
         # equal, the VMs would never exchange it.
         first, second = MemberTable("a"), MemberTable("b")
@@ -133,7 +133,7 @@
 
 
 class SilenceTest(TestCase):
-    def test_who_counts_as_gone(self):
+    def test_which_members_are_marked_gone(self):
         schedule = BeatSchedule.for_size(3)
         table = [
             (member("a", last_seen_at=0.0), False),
@@ -174,8 +174,8 @@
                 relay = relay_of("lima-1", members, avoid)
                 self.assertEqual(relay, expected)
 
-    def test_who_takes_the_role_over(self):
-        # The relay dies or is paused. Only the next by rank claims the
+    def test_which_vm_takes_over_the_relay_role(self):
+        # The relay crashes or is paused. Only the next by rank claims the
         # lease in the store; if the store is unavailable too, it does the
         # relay's work without a lease. The others wait for it.
         relay = rank_vms("lima-1", ["a", "b", "c"])[0]
@@ -204,7 +204,7 @@
                 self.assertEqual(role.wants_lease(relay, members), wants)
                 self.assertEqual(role.is_active(relay, members), is_active)
 
-    def test_a_relay_that_stops_gives_the_role_up(self):
+    def test_a_draining_relay_does_not_want_the_lease(self):
         role = RelayRole("a", "lima-1", True, True, False, True, 0.0)
         self.assertFalse(role.wants_lease("a", [member("a", relay=True)]))
 
--- a/redwingpost/membership/tests/test_vm_table.py
+++ b/redwingpost/membership/tests/test_vm_table.py
@@ -32,10 +32,11 @@
 
 
 class VmTableTest(TestCase):
-    def test_the_part_follows_the_alive_vms(self) -> None:
+    def test_part_depends_on_the_alive_vms(self) -> None:
         """A VM resumes after a suspension; all heartbeats are outdated.
 
-        It must not use the whole rate: the others went on meanwhile.
+        It must not use the whole rate: the other VMs admitted operations
+        meanwhile.
         """
         table = _table()
         for vm in ("vm-1", "vm-2", "vm-3"):
@@ -44,7 +45,7 @@
         self.assertEqual(0.25, table.part(1.0 + HEARTBEAT_TIMEOUT_S * 2))
         self.assertFalse(table.hears_half(1.0 + HEARTBEAT_TIMEOUT_S * 2))
 
-    def test_no_list_means_that_others_may_be_there(self) -> None:
+    def test_part_is_small_without_a_vm_list(self) -> None:
         table = VmTable("vm-0", now=0.0)
         self.assertLess(table.part(0.0), 0.5)
 
@@ -54,14 +55,14 @@
         self.assertEqual(2, table.count())
         self.assertEqual(1.0, table.part(1.0))
 
-    def test_silent_vms_are_taken_off_late(self) -> None:
+    def test_silent_vms_are_removed_after_a_delay(self) -> None:
         table = _table(3)
         table.note(_heartbeat("vm-1"), now=10.0)
         self.assertEqual((), table.silent_vms(REMOVE_AFTER_S - 1.0))
         late = REMOVE_AFTER_S + 5.0
         self.assertEqual(("vm-2",), table.silent_vms(late))
 
-    def test_each_vm_has_its_own_place(self) -> None:
+    def test_each_vm_has_a_rank_of_its_own(self) -> None:
         for subject in ("g1", "g2", "orders"):
             with self.subTest(subject):
                 ranks = []
@@ -76,11 +77,11 @@
                     ranks.append(table.rank(subject, now=0.1))
                 self.assertEqual([0, 1, 2, 3], sorted(ranks))
 
-    def test_silent_vms_have_no_place_in_the_order(self) -> None:
+    def test_silent_vms_are_not_ranked(self) -> None:
         """A data centre with two of four VMs is cut off.
 
-        If the others left time for these two to act first, a takeover
-        would take 0.3 s longer, for nothing.
+        If the others waited for these two to act first, a takeover
+        would take 0.3 s longer without need.
         """
         table = VmTable("vm-3", now=0.0)
         names = ("vm-0", "vm-1", "vm-2", "vm-3")
@@ -94,7 +95,7 @@
         self.assertEqual({0, 1, 2, 3}, before)
         self.assertEqual({0, 1}, after)
 
-    def test_a_datagram_is_never_taken_for_younger_than_it_is(self) -> None:
+    def test_age_of_a_datagram_is_not_underestimated(self) -> None:
         """A heartbeat waits in the socket of a suspended VM for seconds.
 
         The age of the sample in it must count from the earliest time when
@@ -121,7 +122,7 @@
         (heartbeat,) = table.fresh_heartbeats(1.6)
         self.assertEqual({}, heartbeat.health_by_primary)
 
-    def test_reached_elsewhere(self) -> None:
+    def test_primary_reached_by_another_vm(self) -> None:
         table = _table()
         table.note(
             _heartbeat(
--- a/redwingpost/node/tests/test_admission.py
+++ b/redwingpost/node/tests/test_admission.py
@@ -23,7 +23,7 @@
         vms.set_listed(())
         self.admission = Admission(vms, self.ledger, clock)
 
-    def test_the_other_vms_are_told_while_much_is_admitted(self) -> None:
+    def test_many_admissions_are_reported_between_heartbeats(self) -> None:
         """Many operations of one organisation arrive at once.
 
         All VMs share its token bucket. If the others learn of the admitted
--- a/redwingpost/node/tests/test_attempt.py
+++ b/redwingpost/node/tests/test_attempt.py
@@ -74,7 +74,7 @@
 
 
 class AttemptTest(IsolatedAsyncioTestCase):
-    async def test_a_late_loser_leaves_the_next_statement_alone(self) -> None:
+    async def test_late_answer_is_not_logged_with_next_statement(self) -> None:
         """A hedged read is answered while another member still runs it.
 
         The session runs its next statement before the second answer
@@ -85,18 +85,18 @@
         member = HeldMember()
         caller = Caller("parish", SessionState(), 1)
         first = caller.state.trace
-        loser = create_task(
+        late_attempt = create_task(
             run_standalone(member, caller, _READ, None, 9.0, clock)
         )
         await sleep(0)
         caller.state.trace = StatementTrace()
         clock.advance(2.0)
         member.answers.set()
-        await loser
+        await late_attempt
         self.assertEqual(2.0, first.describe()["ran_s"])
         self.assertEqual(0, caller.state.trace.describe()["tries"])
 
-    async def test_a_loser_that_was_not_sent_is_never_sent(self) -> None:
+    async def test_unsent_hedge_is_dropped_after_the_answer(self) -> None:
         """A hedged attempt at a read waits for a connection.
 
         The first attempt is answered, the caller sets another session
@@ -107,7 +107,7 @@
         member = WaitingMember()
         caller = Caller("parish", SessionState(), 1)
         hedge = SimpleNamespace(is_over=False)
-        loser = create_task(
+        late_attempt = create_task(
             run_standalone(
                 member,
                 caller,
@@ -121,5 +121,5 @@
         await sleep(0)
         hedge.is_over = True
         member.has_free_connection.set()
-        self.assertIsInstance(await loser, NotSent)
+        self.assertIsInstance(await late_attempt, NotSent)
         self.assertEqual((0, 1), (member.runs, member.released))
--- a/redwingpost/node/tests/test_coordinator.py
+++ b/redwingpost/node/tests/test_coordinator.py
@@ -144,7 +144,7 @@
                 await coordinator.run(Reason.NONE_LEADS)
                 self.assertEqual(expected, group.promoted)
 
-    async def test_a_replica_starts_again_before_the_order(self) -> None:
+    async def test_a_replica_restarts_before_the_promotion_order(self) -> None:
         """A paused replica restarts and loses its pause.
 
         The primary runs but this VM can't reach it. The replica confirms a
--- a/redwingpost/node/tests/test_copy_fetcher.py
+++ b/redwingpost/node/tests/test_copy_fetcher.py
@@ -96,13 +96,13 @@
                 await wait_for(self.has_applied.wait(), _TIMEOUT_S)
                 self.assertEqual([self.copies.configuration], self.applied)
 
-    async def test_nothing_newer_is_left_alone(self) -> None:
+    async def test_nothing_is_fetched_without_a_newer_version(self) -> None:
         self._check_after(0.1, version=1)
         self._check_after(FETCH_AFTER_S + FETCH_JITTER_S, version=1)
         await sleep(0.05)
         self.assertEqual(0, self.request_count)
 
-    async def test_a_slow_copy_is_not_asked_for_again(self) -> None:
+    async def test_a_pending_fetch_is_not_repeated(self) -> None:
         """Guards against a link saturated by copies that time out."""
         self.may_answer.clear()
         self._check_after(0.1)
@@ -113,7 +113,7 @@
         self.may_answer.set()
         await wait_for(self.has_applied.wait(), _TIMEOUT_S)
 
-    async def test_members_come_along_where_none_are_known(self) -> None:
+    async def test_members_are_fetched_if_none_are_known(self) -> None:
         """Guards against a VM that starts without the store and members."""
         stays, goes, comes = (Row("m", key, 5, {}) for key in "abc")
         self.members.note_snapshot(Snapshot((stays, goes), 5, 0))
--- a/redwingpost/node/tests/test_duty.py
+++ b/redwingpost/node/tests/test_duty.py
@@ -54,7 +54,7 @@
                 held = await wait_for(keeper.take(), _TIMEOUT_S)
                 self.assertEqual(applies, held is not None)
 
-    async def test_a_question_that_is_never_answered(self) -> None:
+    async def test_a_read_that_is_never_answered(self) -> None:
         """The store becomes reachable just after a read was sent.
 
         That read is never answered. Its own timeout would delay the
--- a/redwingpost/node/tests/test_failures.py
+++ b/redwingpost/node/tests/test_failures.py
@@ -22,7 +22,7 @@
         self.node = self.site.nodes[0]
         self.group = self.site.standins.group_by_name["g1"]
 
-    async def test_a_dark_primary_is_replaced_and_nothing_is_lost(
+    async def test_primary_losing_power_is_replaced_without_loss(
         self,
     ) -> None:
         """The primary's VM loses power; statements sent to it hang.
@@ -38,7 +38,7 @@
         fences = [order.fence for order in self.site.standins.orders]
         self.assertEqual(sorted(fences), fences)
 
-    async def test_a_leaving_primary_is_replaced_before_it_goes(
+    async def test_draining_primary_is_replaced_before_it_exits(
         self,
     ) -> None:
         """The primary announces that it will stop, and drains.
@@ -50,7 +50,7 @@
         self._check(code_by_item)
         self.assertNotEqual("g1-m1", self.site.standins.primary_of("g1"))
 
-    async def test_a_node_starts_while_a_member_leaves(self) -> None:
+    async def test_a_node_starts_while_a_member_drains(self) -> None:
         """A node starts while a member is draining.
 
         The node can't know how long the member has been draining. New work
@@ -161,7 +161,7 @@
         served = sum(counts)
         self.assertLess(served, 6 * 40 / 2)
 
-    async def test_the_store_is_away(self) -> None:
+    async def test_the_store_is_unavailable(self) -> None:
         """The platform's store is down.
 
         Nodes that have their configuration must still serve.
@@ -171,7 +171,7 @@
         answer = await caller.run("WRITE s 1")
         self.assertEqual("", answer.code)
 
-    async def test_entries_that_lapse_together_cost_no_read(self) -> None:
+    async def test_entries_that_expire_together_fail_no_read(self) -> None:
         """Guards against groups without members after a store's outage."""
         caller = await self.node.caller("strict")
         self.assertEqual("", (await caller.run("READ a")).code)
--- a/redwingpost/node/tests/test_forwarding.py
+++ b/redwingpost/node/tests/test_forwarding.py
@@ -185,7 +185,7 @@
             self.clock,
         )
 
-    async def test_statements_that_stand_alone(self) -> None:
+    async def test_statements_outside_transactions(self) -> None:
         self.state.prepare("s", Shape(False, "q2"))
         execute = Statement(
             "e", StatementKind.EXECUTE, "EXECUTE s a", "s", "a"
@@ -201,7 +201,7 @@
         self.assertEqual(["r", "w", "e"], self.members.ran)
         self.assertEqual([Shape(False, "q2")], self.members.shapes)
 
-    async def test_a_transaction_is_held_at_its_home(self) -> None:
+    async def test_a_transaction_stays_at_its_home(self) -> None:
         transaction = self._transaction()
         for statement in (_read("1"), _write("2")):
             self.assertIsInstance(await transaction.run(statement), Answer)
@@ -219,7 +219,7 @@
         await self._until(lambda: self.servers[0].is_idle)
         self.assertEqual(1, self.members.rolled_back)
 
-    async def test_a_home_that_stops_is_passed_over(self) -> None:
+    async def test_a_stopped_home_is_skipped(self) -> None:
         self.stopping.add(0)
         result = await self.forwarder.run_alone(self._task(_write("w")))
         self.assertIsInstance(result, Answer)
@@ -266,7 +266,7 @@
         self.assertEqual(Code.COMMIT_UNKNOWN.name, result.code.name)
         self.assertTrue(transaction.is_over)
 
-    async def test_a_busy_home_is_not_silent(self) -> None:
+    async def test_a_slow_home_is_not_suspected(self) -> None:
         """Guards against reads sent twice while a member is slow."""
         self.members.may_answer.clear()
         pending = create_task(self.forwarder.run_alone(self._task(_read("r"))))
--- a/redwingpost/node/tests/test_group.py
+++ b/redwingpost/node/tests/test_group.py
@@ -99,7 +99,7 @@
         watch.end(number, is_answered=False)
         self.assertEqual(0.0, self.group.writes.stuck_s(self.clock.now()))
 
-    async def test_a_round_leaves_the_watch_of_writes_alone(self) -> None:
+    async def test_a_probe_round_keeps_the_age_of_waiting_writes(self) -> None:
         await self._learn("m1", 1)
         self.group.writes.start(self.clock.now())
         self.clock.advance(2.0)
@@ -136,7 +136,7 @@
         leader = self.group.member_by_name["m1"]
         return await confirm_commit(self.group, leader, commit, 1, self.clock)
 
-    async def test_a_commit_is_confirmed_in_doubt_only(self) -> None:
+    async def test_when_a_commit_needs_confirmation(self) -> None:
         """Guards against commits confirmed by a replica that restarted."""
         cases = (
             (
@@ -206,7 +206,7 @@
         self._change("m2", is_primary=True, term=2, received=head)
         self.assertTrue(await self._confirm())
 
-    async def test_a_primary_that_is_leaving_must_claim_its_lead(self) -> None:
+    async def test_a_draining_primary_must_confirm_that_it_leads(self) -> None:
         """Guards against stale reads proven by a partitioned replica."""
         self.assertTrue(await self.group.prove())
         leaving = _entry("m1")._replace(is_draining=True)
@@ -216,7 +216,7 @@
         self._change("m1", is_primary=False)
         self.assertFalse(await self.group.prove())
 
-    async def test_a_primary_must_claim_its_lead_to_a_vm_cut_off(self) -> None:
+    async def test_an_isolated_vm_asks_the_primary_if_it_leads(self) -> None:
         """Guards against stale reads right after a partition has healed."""
         others = tuple(VmAddress(f"vm-{n}", f"ip{n}", 1) for n in (1, 2, 3))
         self.vms.set_listed(others)
--- a/redwingpost/node/tests/test_heartbeats.py
+++ b/redwingpost/node/tests/test_heartbeats.py
@@ -61,7 +61,7 @@
         )
         return vms, heartbeats
 
-    async def test_vms_that_start_hear_each_other_at_once(self) -> None:
+    async def test_starting_vms_exchange_heartbeats_at_once(self) -> None:
         """A fleet restarts, and a VM reads the list of VMs.
 
         Until it has heartbeats from the others it may use only a small
--- a/redwingpost/node/tests/test_homes.py
+++ b/redwingpost/node/tests/test_homes.py
@@ -111,7 +111,7 @@
                 for view in fleet.view_by_vm.values():
                     self.assertEqual(homes, view.homes_of("g", now).names)
 
-    def test_an_organisation_keeps_to_one_home(self) -> None:
+    def test_an_organisation_uses_one_home(self) -> None:
         fleet = _Fleet(62)
         others = set(fleet.view_by_vm) - fleet.homes(1.0)
         first = {
--- a/redwingpost/node/tests/test_many_vms.py
+++ b/redwingpost/node/tests/test_many_vms.py
@@ -28,7 +28,7 @@
 
 
 class CostTest(TestCase):
-    def test_a_vm_sends_and_takes_in_few_datagrams(self) -> None:
+    def test_datagrams_per_vm_are_bounded(self) -> None:
         """A fleet of hundreds of VMs starts, and callers connect.
 
         If each of 200 VMs sent heartbeats to each other, each would receive
@@ -78,7 +78,7 @@
             fleet.run(HEARTBEAT_INTERVAL_S)
             self.assertEqual({1.0}, set(fleet.parts()))
 
-    def test_a_small_fleet_tells_each_to_each(self) -> None:
+    def test_a_small_fleet_sends_heartbeats_directly(self) -> None:
         fleet = SimulatedFleet(7, 3)
         fleet.run(_SETTLE_S)
         self.assertEqual({1.0}, set(fleet.parts()))
@@ -149,7 +149,7 @@
         fleet.run(1.0)
         self.assertEqual({1.0}, set(fleet.parts()))
 
-    def test_all_vms_start_again(self) -> None:
+    def test_all_vms_restart(self) -> None:
         """All VMs lose power and restart at the same time."""
         fleet = self.fleet
         for address in fleet.addresses:
@@ -216,7 +216,7 @@
                 late = [at for at in admitted if at >= admitted[0] + 6.0]
                 self.assertGreaterEqual(len(late), 0.85 * 40.0 * 6.0)
 
-    def test_much_admitted_at_one_vm_is_known_at_once(self) -> None:
+    def test_many_admissions_at_one_vm_are_reported_at_once(self) -> None:
         """All callers of an organisation use one VM for a moment.
 
         Until the other VMs get its counters, they admit operations for
--- a/redwingpost/node/tests/test_normal_operation.py
+++ b/redwingpost/node/tests/test_normal_operation.py
@@ -69,7 +69,7 @@
         ]
         self.assertTrue(any(member.runs for member in replicas))
 
-    async def test_members_are_told_organisations_and_never_keys(
+    async def test_members_receive_organisations_but_no_keys(
         self,
     ) -> None:
         for key in ("key-1", "key-3"):
@@ -88,7 +88,7 @@
         await second.run("EXECUTE same e 1")
         self.assertEqual(("1",), (await first.run("EXECUTE same e")).rows)
 
-    async def test_who_may_start(self) -> None:
+    async def test_which_sessions_may_open(self) -> None:
         cases = (
             ("own", "key-1", "READY"),
             ("own", "stranger", "AUTHFAIL"),
@@ -101,7 +101,7 @@
                 )
                 self.assertEqual(expected, await caller.start(database, key))
 
-    async def test_a_withdrawn_key_stops_on_open_sessions(self) -> None:
+    async def test_a_withdrawn_key_is_refused_on_open_sessions(self) -> None:
         caller = await self.node.caller("own", "key-1")
         other = await self.node.caller("own", "key-2")
         self.assertEqual("", (await caller.run("READ f")).code)
--- a/redwingpost/node/tests/test_quota.py
+++ b/redwingpost/node/tests/test_quota.py
@@ -123,7 +123,7 @@
             await session.run(read)
             self.clock.advance(RETRY_S)
 
-    async def test_a_read_that_a_member_ran_counts_though_refused(
+    async def test_a_refused_read_that_a_member_ran_is_charged(
         self,
     ) -> None:
         """Guards against tokens refunded for operations that members ran."""
@@ -132,7 +132,7 @@
         granted = _PARISH.rate * WINDOW_S + _PARISH.burst
         self.assertLessEqual(len(ran), granted)
 
-    async def test_what_no_replica_can_prove_isn_t_sent(self) -> None:
+    async def test_reads_that_cannot_be_proven_are_not_sent(self) -> None:
         """Guards against members loaded with reads that can't be confirmed."""
         for member in ("m2", "m3"):
             entry = MemberEntry(member, "g", "ip", 1, "a", False, False, 9)
@@ -150,7 +150,7 @@
                 self.assertAlmostEqual(left_s * 1000, answer.retry_after_ms)
         self.assertEqual([], self.members.run_requests)
 
-    async def test_what_reached_no_member_doesn_t_count(self) -> None:
+    async def test_operations_that_reach_no_member_are_free(self) -> None:
         """Guards against over-rate refusals once a primary is back."""
         self.clock.advance(1.0)
         self.group.member_by_name["m1"].failed_at = self.clock.now()
--- a/redwingpost/node/tests/test_relayed_store.py
+++ b/redwingpost/node/tests/test_relayed_store.py
@@ -101,7 +101,7 @@
         self.assertEqual((_change(6),), changes.changes)
         self.assertEqual(0, self.store.calls)
 
-    async def test_a_gatherer_that_must_be_left(self) -> None:
+    async def test_a_failed_gatherer_is_replaced(self) -> None:
         """The gatherer that this VM follows fails or has lost the store.
 
         A configuration must still be in force within seconds, so the VM
@@ -135,7 +135,7 @@
                 self.assertEqual(calls, self.store.calls - before)
                 self.copies[1].note_snapshot(Snapshot((), 5, 0))
 
-    async def test_a_store_that_is_down_is_left_alone(self) -> None:
+    async def test_an_unavailable_store_gets_one_call(self) -> None:
         """The store is down, and both gatherers report it.
 
         Repeated requests of 200 VMs would each cost a call.
@@ -146,14 +146,14 @@
         self.assertTrue(got.is_error())
         self.assertEqual(1, self.store.calls)
 
-    async def test_a_gatherer_asks_the_store(self) -> None:
+    async def test_a_gatherer_reads_from_the_store(self) -> None:
         self.gathering.is_gatherer = True
         await self._next()
         self.assertEqual(1, self.store.calls)
 
 
 class TableCopyTest(IsolatedAsyncioTestCase):
-    async def test_what_a_reader_gets(self) -> None:
+    async def test_changes_since_a_version(self) -> None:
         copy = TableCopy()
         copy.note_snapshot(Snapshot((), 5, 0))
         for version in range(6, 6 + KEPT_BATCHES + 2):
--- a/redwingpost/node/tests/test_rosters.py
+++ b/redwingpost/node/tests/test_rosters.py
@@ -115,7 +115,7 @@
             self.clock.advance(1.0)
             await self.keeper.check()
 
-    async def test_a_calm_group_costs_two_calls(self) -> None:
+    async def test_an_unchanged_group_costs_two_calls(self) -> None:
         self._list("a", "b", "c")
         await self._check(times=20)
         self.assertEqual(["a", "b", "c"], self.store.members())
@@ -135,7 +135,7 @@
         await self._check(times=10)
         self.assertEqual(["a", "b", "c"], self.store.members())
 
-    async def test_a_member_that_ended_is_forgotten(self) -> None:
+    async def test_a_member_that_ended_is_removed(self) -> None:
         """A member ends as announced while another receives no commits.
 
         Until that other one has caught up, the ended member may hold the
--- a/redwingpost/node/tests/test_start_gate.py
+++ b/redwingpost/node/tests/test_start_gate.py
@@ -10,7 +10,7 @@
 
 
 class StartGateTest(IsolatedAsyncioTestCase):
-    async def test_callers_wait_for_the_first_rules(self) -> None:
+    async def test_callers_wait_for_the_first_configuration(self) -> None:
         """All VMs lose power, and callers reconnect at the same time.
 
         A VM accepts connections some hundredths of a second before it has
@@ -24,12 +24,12 @@
         gate.open()
         await waiting
 
-    async def test_an_open_gate_holds_nobody(self) -> None:
+    async def test_callers_do_not_wait_at_an_open_gate(self) -> None:
         gate = StartGate()
         gate.open()
         waiting = create_task(gate.wait(LONG_S))
         await sleep(0.0)
         self.assertTrue(waiting.done())
 
-    async def test_nobody_waits_for_ever(self) -> None:
+    async def test_the_wait_times_out(self) -> None:
         await StartGate().wait(0.001)
--- a/redwingpost/node/tests/test_walks.py
+++ b/redwingpost/node/tests/test_walks.py
@@ -44,7 +44,7 @@
         self.assertGreater(largest.refused_by_reason["over-rate"], 0)
         self.assertLess(largest.granted, largest.offered)
 
-    async def test_in_doubt_through_a_change_of_primary(self) -> None:
+    async def test_unknown_outcome_in_a_takeover(self) -> None:
         """The primary stops answering while it runs a write.
 
         The caller gets the code for an unknown outcome. The steps must lead
@@ -68,7 +68,7 @@
         self.assertNotIn(line["member"], {item["member"] for item in later})
         self.assertNotEqual([], later)
 
-    async def test_late_in_a_full_queue(self) -> None:
+    async def test_late_answer_of_a_full_member(self) -> None:
         """The member's slots are taken; statements wait for a connection.
 
         The caller's statement succeeds, but late. The steps must lead to
--- a/redwingpost/node/tests/test_watcher.py
+++ b/redwingpost/node/tests/test_watcher.py
@@ -79,7 +79,7 @@
                 )
                 self.assertEqual(expected, keys)
 
-    async def test_a_lost_history_is_read_anew(self) -> None:
+    async def test_a_snapshot_is_read_after_a_lost_history(self) -> None:
         keys = await self._follow(
             [
                 Ok(Snapshot((_row("old"),), 1, 0)),
@@ -90,8 +90,8 @@
         self.assertEqual({"new"}, keys)
 
 
-class RegainedTest(IsolatedAsyncioTestCase):
-    async def test_who_waits_for_the_store_hears_of_its_return(self) -> None:
+class StoreRecoveryTest(IsolatedAsyncioTestCase):
+    async def test_store_recovery_notifies_the_waiting(self) -> None:
         """The store was unavailable, and answers for one table first.
 
         If a pending takeover weren't notified, it would wait for its next
--- a/redwingpost/operator/tests/test_site.py
+++ b/redwingpost/operator/tests/test_site.py
@@ -19,7 +19,7 @@
 
 
 class SiteTest(TestCase):
-    def test_what_it_prints_is_valid(self):
+    def test_rendered_site_is_valid(self):
         site = small_site()
         site.kind("enrolment", weight=4.0, unconfirmed="accept")
         site.withdraw("circles-taipei", "b" * 40)
--- a/redwingpost/operator/tests/test_usage.py
+++ b/redwingpost/operator/tests/test_usage.py
@@ -26,7 +26,7 @@
         counts = read_counts(metrics.render().decode())
         self.assertEqual({_LIGHT: 3, _REFUSED: 1}, counts)
 
-    def test_what_grew_between_two_readings(self) -> None:
+    def test_increase_between_two_readings(self) -> None:
         cases = (
             ("grew", {_LIGHT: 2}, {_LIGHT: 5}, {_LIGHT: 3}),
             ("new", {}, {_LIGHT: 5}, {_LIGHT: 5}),
@@ -45,7 +45,7 @@
                     Counter(expected), count_increase(before, after)
                 )
 
-    def test_the_loudest_organisation_comes_first(self) -> None:
+    def test_organisation_with_most_operations_comes_first(self) -> None:
         """Two organisations overload a shared group.
 
         Without counts by organisation, the owner of the group can't tell
--- a/redwingpost/platform/tests/test_boundary.py
+++ b/redwingpost/platform/tests/test_boundary.py
@@ -23,7 +23,7 @@
 
 
 class BoundaryTest(TestCase):
-    def test_names_of_the_platform_stay_inside(self) -> None:
+    def test_platform_names_are_used_only_inside(self) -> None:
         violations = []
         for path in sorted(ROOT.rglob("*.py")):
             parts = path.relative_to(ROOT).parts
--- a/redwingpost/platform/tests/test_lines.py
+++ b/redwingpost/platform/tests/test_lines.py
@@ -68,7 +68,7 @@
             with self.subTest(line):
                 self.assertEqual(expected, parse_caller_line(line))
 
-    def test_what_is_refused(self) -> None:
+    def test_refused_lines(self) -> None:
         """A line hides a second statement or poses as the proxy's own.
 
         If it were passed on, the member would run a statement that callers
@@ -177,7 +177,7 @@
         self.assertEqual(Position(3, 9), reply.position)
         self.assertTrue(reply.in_transaction)
 
-    def test_lines_out_of_place(self) -> None:
+    def test_unexpected_lines(self) -> None:
         cases = (
             ["READY I -"],
             ["COMPLETE x", "COMPLETE x"],
--- a/redwingpost/pools/tests/test_pool.py
+++ b/redwingpost/pools/tests/test_pool.py
@@ -65,7 +65,7 @@
         self.assertIs(connections[0], pool.take("a", {}, shape, 1.0))
         self.assertIs(connections[1], pool.take("a", {}, shape, 1.0))
 
-    def test_a_fleet_without_power_leaves_room_at_the_members(self) -> None:
+    def test_pools_leave_free_connections_for_a_restart(self) -> None:
         """All VMs lose power at once and restart.
 
         A member counts the old connections for some more seconds. If the
@@ -84,7 +84,7 @@
             )
         self.assertLessEqual(left, 32 * 2 // 3)
 
-    def test_the_longest_idle_makes_room(self) -> None:
+    def test_the_longest_idle_connection_is_evicted(self) -> None:
         """More organisations than connections share one VM.
 
         With a fixed quota for each, the large ones would wait while
@@ -97,14 +97,14 @@
         taken = pool.take("f", {}, None, 10.0)
         self.assertIs(connections[0], taken.evicted)
 
-    def test_all_places_in_use(self) -> None:
+    def test_all_connections_in_use(self) -> None:
         pool = _pool()
         _fill(pool, ["a"] * 5, 0.0)
         self.assertIsInstance(pool.take("a", {}, None, 0.0), Busy)
         pool.drop()
         self.assertIsInstance(pool.take("a", {}, None, 0.0), Open)
 
-    def test_what_closes_when(self) -> None:
+    def test_when_idle_connections_are_closed(self) -> None:
         late = IDLE_S + 0.1
         cases = (
             ("in use lately", 0.5, False, 0),
@@ -119,7 +119,7 @@
                 closing = pool.close_idle(now, close_all)
                 self.assertEqual(closed, len(closing))
 
-    def test_a_refusal_brings_the_equal_part_back(self) -> None:
+    def test_a_refusal_restores_the_equal_share(self) -> None:
         """Six VMs exceed their equal share at once; the member refuses.
 
         If they continued, every second connection would fail.
--- a/redwingpost/promotion/tests/test_acknowledgement.py
+++ b/redwingpost/promotion/tests/test_acknowledgement.py
@@ -79,7 +79,7 @@
         self.assertEqual(self.settle(decided), {1: Decision.REPLACED})
         self.assertEqual(self.settle(self.add(2, 6)), {2: Decision.REPLACED})
 
-    def test_past_the_bound(self):
+    def test_unconfirmed_write_after_its_time_limit(self):
         """Both replicas have stopped receiving; only the primary has it.
 
         The answer depends on the request kind: an order should be
@@ -105,7 +105,7 @@
                 decided = self.settle(self.acks.expired(1.0))
                 self.assertEqual(decided, {1: expected})
 
-    def test_older_wait_proves_no_term_for_a_younger_write(self):
+    def test_older_wait_proves_no_term_for_a_later_write(self):
         """A wait is answered, then a claim, then the write is committed.
 
         The answer arrives late. As a proof of the term it would
@@ -132,7 +132,7 @@
         self.acks.failed("b", wait.number)
         self.assertEqual(self.acks.next_wait("b").position, Position(2, 5))
 
-    def test_group_of_one_needs_nobody(self):
+    def test_group_of_one_needs_no_replica(self):
         acks = Acknowledgements(2, (), 0)
         decided = self.settle(acks.add(1, Position(2, 5), 1.0))
         self.assertEqual(decided, {1: Decision.ACKNOWLEDGED})
--- a/redwingpost/promotion/tests/test_detection.py
+++ b/redwingpost/promotion/tests/test_detection.py
@@ -64,7 +64,7 @@
             with self.subTest(name):
                 self.assertIs(self.diagnose(*reports), diagnosis)
 
-    def test_cut_off_vm_orders_nothing(self):
+    def test_isolated_vm_orders_no_promotion(self):
         """One VM loses its network and reaches no member.
 
         If it could start a promotion, a healthy primary would be fenced
@@ -73,7 +73,7 @@
         cut_off = report(0, 5.0, others_silent_s=5.0)
         self.assertIs(self.diagnose(cut_off), Diagnosis.MAJORITY_UNREACHABLE)
 
-    def test_replica_that_hears_the_primary_delays(self):
+    def test_replica_that_reaches_the_primary_delays_promotion(self):
         """Links from the VMs to the primary are lossy; replicas reach it.
 
         An immediate promotion may be needless; without any promotion
--- a/redwingpost/promotion/tests/test_election.py
+++ b/redwingpost/promotion/tests/test_election.py
@@ -84,7 +84,7 @@
             with self.subTest(name):
                 self.assertEqual(self.promoted(*events, **options), [expected])
 
-    def test_no_majority_promotes_nobody(self):
+    def test_no_promotion_without_a_majority(self):
         """Two of three members are unreachable from the proposer.
 
         A promotion with one accepted claim would create a second primary
@@ -104,7 +104,7 @@
             with self.subTest(events=events):
                 self.assertEqual(self.promoted(*events), [])
 
-    def test_leaving_member_is_chosen_only_without_a_choice(self):
+    def test_draining_member_is_chosen_only_if_no_other_can_be(self):
         """An operator drains the primary, which is ahead of the others.
 
         The most advanced log of any majority is sufficient, so that the
@@ -119,7 +119,7 @@
                 chosen = self.promoted(*events, candidates=candidates)
                 self.assertEqual(chosen, [expected])
 
-    def test_late_and_foreign_answers_change_nothing(self):
+    def test_late_and_foreign_answers_are_ignored(self):
         done = (claim("a", 5), claim("b", 6), claim("c", 5))
         table = [
             (*done, claim("a", 9)),
@@ -134,7 +134,7 @@
                 self.assertEqual(of_type(sent, Announce), [])
                 self.assertNotIn(election.phase.name, ("DONE", "ABORTED"))
 
-    def test_refusal_teaches_the_higher_term(self):
+    def test_refusal_reports_the_higher_term(self):
         _, sent = run(ClaimAnswer("b", False, 7), ClaimAnswer("c", False, 3))
         self.assertEqual(of_type(sent, Abort)[0].highest_term, 7)
 
@@ -234,7 +234,7 @@
 
 
 class ContinuationTest(TestCase):
-    def test_dropped_position_is_told_once(self):
+    def test_dropped_position_is_reported_once(self):
         """A session read its own write from a primary that then failed.
 
         The promotion dropped the write. Without an error the session's
--- a/redwingpost/proxy/tests/test_caller_tls.py
+++ b/redwingpost/proxy/tests/test_caller_tls.py
@@ -73,7 +73,7 @@
             cursor.execute("SELECT %s", (body,))
             self.assertEqual(cursor.fetchone(), (body,))
 
-    def test_tls_that_comes_with_its_request(self):
+    def test_tls_handshake_that_arrives_with_its_request(self):
         # A driver requests TLS and sends its first handshake bytes at
         # once; on a busy VM both arrive before the proxy reads. The
         # handshake must continue with the bytes already received.
--- a/redwingpost/proxy/tests/test_end_to_end.py
+++ b/redwingpost/proxy/tests/test_end_to_end.py
@@ -171,7 +171,7 @@
                         cursor.execute(sql)
                     self.assertEqual(caught.exception.args[0], number)
 
-    def test_groups_out_of_reach(self):
+    def test_unknown_and_forbidden_groups_are_refused(self):
         table = [
             (OTHER_GROUP, Code.GROUP_NOT_ALLOWED.number),
             ("no-such-group", Code.UNKNOWN_GROUP.number),
@@ -185,7 +185,7 @@
                         cursor.execute("SELECT id FROM kinds")
                     self.assertEqual(caught.exception.args[0], number)
 
-    def test_wrong_keys_get_nothing(self):
+    def test_wrong_keys_are_refused(self):
         table = [
             {"password": "wrong"},
             {"password": ""},
@@ -255,7 +255,7 @@
             two.execute("SELECT note FROM notes WHERE note = 'committed'")
             self.assertEqual(two.fetchall(), (("committed",),))
 
-    def test_a_client_that_leaves_rolls_back(self):
+    def test_a_disconnect_rolls_back(self):
         # A client loses its connection in the middle of a transaction. The
         # uncommitted row must not become visible, nor its locks block other
         # writers.
@@ -268,7 +268,7 @@
             two.execute("SELECT note FROM notes WHERE note = 'half done'")
             self.assertEqual(two.fetchall(), ())
 
-    def test_no_key_leaves_the_proxy(self):
+    def test_keys_are_not_disclosed(self):
         # A key in a statement, a log line, a metric or an error would be
         # disclosed to everyone who can read those.
         output = StringIO()
--- a/redwingpost/proxy/tests/test_feed.py
+++ b/redwingpost/proxy/tests/test_feed.py
@@ -50,7 +50,7 @@
 
 class AgentFeedTest(TestCase):
     @in_kj_loop
-    async def test_a_poll_applies_all_news(self):
+    async def test_a_poll_applies_all_changes(self):
         fleet = TestFleet({"vm-1": "dc-1"}, net=45)
         await fleet.submit(dumps(GOOD).encode(), 0)
         await fleet.start()
--- a/redwingpost/proxy/tests/test_forwarding.py
+++ b/redwingpost/proxy/tests/test_forwarding.py
@@ -127,7 +127,7 @@
                         cursor.execute(sql)
                     self.assertEqual(caught.exception.args[0], number)
 
-    def test_a_client_that_leaves_rolls_back_at_the_home(self):
+    def test_a_disconnect_rolls_back_at_the_home(self):
         # A client loses its connection to a VM that only forwards. Its
         # transaction at the home must not stay open, because its locks
         # would block every other writer of the group.
--- a/redwingpost/proxy/tests/test_local_answers.py
+++ b/redwingpost/proxy/tests/test_local_answers.py
@@ -44,7 +44,7 @@
         names = [column.name for column in result.columns]
         self.assertEqual(names, ["v", "@@time_zone"])
 
-    def test_left_to_targets(self):
+    def test_forwarded_to_targets(self):
         table = ["SELECT 1", "SELECT a FROM t", "SELECT @@unknown_thing"]
         for sql in table:
             with self.subTest(sql=sql):
--- a/redwingpost/proxy/tests/test_withdrawal.py
+++ b/redwingpost/proxy/tests/test_withdrawal.py
@@ -46,7 +46,7 @@
 
         self.site.call(take())
 
-    def test_a_withdrawn_key_loses_its_open_transaction(self):
+    def test_a_withdrawn_key_rolls_back_its_open_transaction(self):
         # A key is withdrawn while a caller has an open transaction and
         # sends nothing more. Its locks must not block other callers, its
         # uncommitted work must not be visible, and the next request is
@@ -67,7 +67,7 @@
                 caught.exception.args[0], Code.KEY_WITHDRAWN.number
             )
 
-    def test_a_planned_stop_cuts_no_request(self):
+    def test_a_planned_stop_aborts_no_request(self):
         # The VM is replaced while a statement runs. The caller must get
         # the whole answer before the connections are closed.
         connection = self.connect()
--- a/redwingpost/proxy/tests/test_writes.py
+++ b/redwingpost/proxy/tests/test_writes.py
@@ -149,7 +149,7 @@
             self.assertEqual(waiting.result()[1], 1)
         self.assertEqual(self.count("puno"), 1)
 
-    def test_cut_primary_acknowledges_nothing(self):
+    def test_isolated_primary_acknowledges_nothing(self):
         """The primary is cut off; the others have promised a new term.
 
         It still commits. If the write were acknowledged, it would be lost
@@ -194,7 +194,7 @@
         code = self.code_of(self.run_on, self.connection_1, "COMMIT")
         self.assertEqual(code, Code.COMMIT_UNKNOWN.number)
 
-    def test_caller_that_hangs_up_holds_no_lock(self):
+    def test_disconnected_caller_holds_no_lock(self):
         """A caller disconnects inside a transaction.
 
         If its locks stayed, the other callers' writes would wait until
@@ -207,7 +207,7 @@
         self.assertEqual(self.count("puno"), 0)
         self.assertEqual(self.count("cusco"), 1)
 
-    def test_session_that_saw_a_dropped_write_is_told_once(self):
+    def test_session_with_a_dropped_position_is_refused_once(self):
         """A session holds a position that a promotion has dropped.
 
         Without a refusal the session would miss data that it had seen.
--- a/redwingpost/rates/tests/test_relay.py
+++ b/redwingpost/rates/tests/test_relay.py
@@ -11,7 +11,7 @@
 
 
 class RelayTest(TestCase):
-    def test_what_is_passed_on(self) -> None:
+    def test_which_counters_are_forwarded(self) -> None:
         relay = UsageRelay()
         relay.record("near", 1, (Usage("a", 3, newly_used=3),), is_own=True)
         relay.record("near", 1, (Usage("a", 5, newly_used=2),), is_own=True)
@@ -24,7 +24,7 @@
         )
         self.assertEqual((), relay.take_changed())
 
-    def test_all_are_repeated_in_turn(self) -> None:
+    def test_all_counters_are_repeated_in_turn(self) -> None:
         """A datagram with the last operations of a VM is lost.
 
         The VM reports no change after that; only the repetition of
@@ -41,7 +41,7 @@
         ]
         self.assertEqual(sorted(names), sorted(repeated))
 
-    def test_a_vm_that_is_gone(self) -> None:
+    def test_counters_of_a_removed_vm_are_not_forwarded(self) -> None:
         relay = UsageRelay()
         relay.record("v", 1, (Usage("a", 1),), is_own=True)
         relay.forget("v")
@@ -66,7 +66,7 @@
             ledger.note_peer(f"v{number}", 1, (first,), now)
         self.assertEqual(before - 10.0, ledger.view("a").tokens)
 
-    def test_long_counters_of_others_are_where_counting_starts(self) -> None:
+    def test_existing_counters_of_others_are_not_charged(self) -> None:
         """A VM starts when others have admitted thousands of operations.
 
         Charging their totals would refuse callers within the rate.
@@ -80,7 +80,7 @@
         ledger.note_peer("v", 1, (usage,), now)
         self.assertEqual(before - 1.0, ledger.view("a").tokens)
 
-    def test_a_table_holds_what_went_in(self) -> None:
+    def test_usage_table_round_trip(self) -> None:
         relay = UsageRelay()
         relay.record("v", 7, (Usage("a", 3, 4, 1, 2.5, 2, 3),), is_own=True)
         changed = relay.take_changed()
--- a/redwingpost/rates/tests/test_usage.py
+++ b/redwingpost/rates/tests/test_usage.py
@@ -78,7 +78,7 @@
 
 
 class FloodTest(TestCase):
-    def test_a_flood_after_a_calm_time(self) -> None:
+    def test_a_flood_after_a_low_load(self) -> None:
         """An organisation with a low load sends sixty times its rate.
 
         Its bucket is full at every VM. Until the VMs receive each
@@ -110,7 +110,7 @@
             left += 1
         return left
 
-    def test_a_restart_counts_anew(self) -> None:
+    def test_counters_from_before_a_restart_are_ignored(self) -> None:
         """A VM restarts, and a datagram from before arrives late.
 
         If it were applied it would be charged a second time, and callers
@@ -134,7 +134,7 @@
                     ledger.note_peer("vm-2", boot, usages, 100.0)
                 self.assertEqual(expected, self._left(ledger))
 
-    def test_restarts_leave_nothing_behind(self) -> None:
+    def test_restarts_do_not_grow_the_ledger(self) -> None:
         """A VM restarts a hundred times.
 
         If the counters of each start were kept, memory would grow with
@@ -187,12 +187,12 @@
         self.assertFalse(ledger.admit(RULE, 1.0, 20.0 + wait_s * 0.5))
         self.assertLess(wait_s, 1.0)
 
-    def test_within_the_rate_nobody_is_refused(self) -> None:
+    def test_no_operation_within_the_rate_is_refused(self) -> None:
         fleet = Fleet(6)
         fleet.play(20.0, [6.0, 4.0, 2.0, 1.0, 0.5, 0.0], seed=3)
         self.assertGreaterEqual(len(fleet.admitted), sum(fleet.offered) * 0.99)
 
-    def test_callers_of_all_vms_are_served_alike(self) -> None:
+    def test_callers_of_all_vms_are_served_equally(self) -> None:
         """Two and a half times the rate, unevenly spread.
 
         If the VM that sees a token first spent it, callers of one VM
@@ -206,7 +206,7 @@
         ]
         self.assertLess(max(shares) - min(shares), 0.08)
 
-    def test_a_cut_fleet_keeps_to_the_rate(self) -> None:
+    def test_a_partitioned_fleet_keeps_to_the_rate(self) -> None:
         """A partition separates two halves of the fleet under load.
 
         Each half uses its part of the rate; both together must not
@@ -249,7 +249,7 @@
                     last.wait_s(RULE, 1.0), fresh.wait_s(RULE, 1.0)
                 )
 
-    def test_what_reached_no_member_costs_nothing(self) -> None:
+    def test_operations_that_reach_no_member_are_free(self) -> None:
         """A primary is lost, and callers retry repeatedly.
 
         If each attempt counted, they would be over their rate once
--- a/redwingpost/rates/tests/test_views.py
+++ b/redwingpost/rates/tests/test_views.py
@@ -93,7 +93,7 @@
 
 
 class ViewsTest(TestCase):
-    def test_a_lowered_rate_is_shared_alike(self) -> None:
+    def test_a_lowered_rate_is_shared_equally(self) -> None:
         """An operator lowers a rate far below what is sent.
 
         Each VM applies the change at a different time, so that their
@@ -134,7 +134,7 @@
                 fleet.play(first_s + 0.5, first_s + 5.0, calm, _rule(100.0))
                 self.assertEqual(len(fleet.offered), len(fleet.admitted))
 
-    def test_restarts_in_a_flood_give_nothing_away(self) -> None:
+    def test_restarts_in_a_flood_grant_no_extra_burst(self) -> None:
         """VMs restart in turn during a flood that is limited to its rate.
 
         A restarted VM has no record of the usage. If its bucket started
--- a/redwingpost/rates/tests/test_waiting.py
+++ b/redwingpost/rates/tests/test_waiting.py
@@ -38,7 +38,7 @@
             queue.add(Waiter(_STATEMENT_MICROTOKENS, 10.0, number))
         self.assertEqual(queue.refuse(0.5, loan_pending=True), [])
 
-    def test_refusals_name_the_time(self):
+    def test_refusals_contain_a_retry_delay(self):
         queue = _wait_queue(TOTAL_PARTS)
         for number in range(200):
             queue.add(Waiter(_STATEMENT_MICROTOKENS, 10.0, number))
--- a/redwingpost/retries/tests/test_retries.py
+++ b/redwingpost/retries/tests/test_retries.py
@@ -35,11 +35,11 @@
                 rules = RULES_BY_CLASS[request_class]
                 self.assertEqual(set(rules), set(Failure))
 
-    def test_not_run_is_said_only_where_nothing_ran(self):
+    def test_not_run_is_reported_only_if_nothing_ran(self):
         """A target commits a write and its answer is lost.
 
-        With the answer "not run" the caller would order again and get
-        two kits, so a write that may have run never ends in "not run".
+        With the answer "not run" the caller would repeat the order and
+        get it twice, so a write that may have run never ends in "not run".
         """
         for request_class in RequestClass:
             for failure in Failure:
@@ -159,7 +159,7 @@
             retries += budget.spend()
         self.assertLessEqual(retries, 1_000 + 64)
 
-    def test_a_failover_is_covered_at_once(self):
+    def test_budget_covers_a_failover_from_the_start(self):
         budget = RetryBudget()
         self.assertTrue(all(budget.spend() for _ in range(50)))
 
@@ -186,7 +186,7 @@
                     Record("diocese", key, statement_fingerprint, 3, 77, 100),
                 )
 
-    def test_second_copy_meets_the_first_ones_key(self):
+    def test_second_insert_of_a_key_violates_uniqueness(self):
         self.database.execute(insert_sql("a", "k", "f", 1))
         self.database.execute(insert_sql("b", "k", "f", 1))
         with self.assertRaisesRegex(Exception, "UNIQUE"):
@@ -224,7 +224,7 @@
                 refused = answer.refusal and answer.refusal.code
                 self.assertEqual(refused, code)
 
-    def test_blanks_in_literals_count(self):
+    def test_blanks_in_literals_are_significant(self):
         self.assertNotEqual(
             fingerprint("INSERT 'a b'"), fingerprint("INSERT 'a  b'")
         )
--- a/redwingpost/scheduling/tests/test_fair.py
+++ b/redwingpost/scheduling/tests/test_fair.py
@@ -81,7 +81,7 @@
         self.assertEqual(_pop_all(queue), [kept, other])
         self.assertEqual(queue.queued_cost, 0.0)
 
-    def test_the_longest_flow_gives_way(self):
+    def test_longest_flow_is_evicted_first(self):
         queue = FairQueue()
         for number in range(9):
             queue.push(("flood", number), Flow("flood", ""), 1.0)
@@ -122,7 +122,7 @@
             lengths.observe(shape, 0.01, typical_s=0.01)
         self.assertFalse(lengths.is_long(shape))
 
-    def test_an_overload_makes_no_long_jobs(self):
+    def test_an_overload_does_not_classify_jobs_as_long(self):
         # In an overload every statement takes half a second, because it
         # queues inside the member. If they counted as long jobs, they
         # would share the few slots for those and starve.
--- a/redwingpost/sessions/tests/test_sessions.py
+++ b/redwingpost/sessions/tests/test_sessions.py
@@ -19,9 +19,10 @@
         token = self.minter.read(self.token, "puno").ok
         self.assertEqual(token, ("puno", "s", AT, True))
 
-    def test_tokens_that_are_not_ours(self):
+    def test_modified_and_forged_tokens_are_refused(self):
         # A caller modifies, truncates or forges a token, to bypass its
-        # session's positions or to make a proxy wait in vain.
+        # session's positions or to make a proxy wait for a position that
+        # no member reaches.
         flipped = ("B" if self.token[8] != "B" else "C").join(
             (self.token[:8], self.token[9:])
         )
@@ -79,5 +80,5 @@
         self.assertEqual(seen.after("catalogue-1"), AT["catalogue-1"])
         self.assertEqual(seen.after("catalogue-2"), ZERO_POSITION)
 
-    def test_nothing_known(self):
+    def test_group_without_a_position(self):
         self.assertIsNone(SessionPositions().after("catalogue-1"))
--- a/redwingpost/statements/tests/test_session.py
+++ b/redwingpost/statements/tests/test_session.py
@@ -57,7 +57,7 @@
         self.assertIsNone(prepare_step(contents, None))
         self.assertIsNotNone(prepare_step(contents, WRITES))
 
-    def test_a_reset_brings_prepared_statements_back(self) -> None:
+    def test_statements_are_prepared_again_after_a_reset(self) -> None:
         contents = LinkContents()
         contents.apply(SetValue("a", "1"))
         contents.apply(Prepare(prepared_name(READS), READS))
@@ -66,7 +66,7 @@
         contents.apply(steps[0])
         self.assertIsNotNone(prepare_step(contents, READS))
 
-    def test_what_a_connection_lacks_is_counted(self) -> None:
+    def test_count_of_missing_setup_steps(self) -> None:
         held = LinkContents()
         held.apply(SetValue("a", "1"))
         held.apply(Prepare(prepared_name(READS), READS))
@@ -82,7 +82,7 @@
                     expected, count_setup_steps(held, wanted, shape)
                 )
 
-    def test_names_differ_where_what_runs_differs(self) -> None:
+    def test_different_shapes_have_different_names(self) -> None:
         names = {
             prepared_name(shape)
             for shape in (READS, WRITES, Shape(False, "q2"))
@@ -97,7 +97,7 @@
 
 
 class SessionStateTest(TestCase):
-    def test_what_writes(self) -> None:
+    def test_which_statements_write(self) -> None:
         state = SessionState()
         state.prepare("r", READS)
         state.prepare("w", WRITES)
@@ -120,7 +120,7 @@
         self.assertFalse(kept[-1])
         self.assertTrue(state.set_value("v0", "2"))
 
-    def test_a_commit_never_moves_back(self) -> None:
+    def test_written_position_never_decreases(self) -> None:
         state = SessionState()
         for position in (Position(2, 5), Position(1, 9), None):
             state.note_commit(position)
--- a/redwingpost/takeover/tests/test_plan.py
+++ b/redwingpost/takeover/tests/test_plan.py
@@ -95,7 +95,7 @@
     promoted, or if the two can still confirm another commit.
     """
 
-    def test_who_may_lead(self) -> None:
+    def test_which_member_may_be_promoted(self) -> None:
         for case in _CASES:
             with self.subTest(case.name):
                 answers = {"old": case.old, "chosen": case.chosen}
@@ -135,7 +135,7 @@
                 allowed = may_promote(survey.statuses[1], survey)
                 self.assertEqual(expected, allowed)
 
-    def test_when_a_stop_is_worth_it(self) -> None:
+    def test_when_the_primary_is_worth_stopping(self) -> None:
         """Guards against stopping a primary that nothing can replace.
 
         A primary is partitioned from its replicas and one of them is
--- a/redwingpost/takeover/tests/test_roster.py
+++ b/redwingpost/takeover/tests/test_roster.py
@@ -24,7 +24,7 @@
 
 
 class RosterTest(TestCase):
-    def test_who_is_on_it(self) -> None:
+    def test_which_members_are_listed(self) -> None:
         """Guards against the loss of a commit that only one member holds.
 
         A member that the registry has dropped may hold the only copy, so it
@@ -43,7 +43,7 @@
                 roster = recorded.with_listed(listed)
                 self.assertEqual(expected, sorted(roster.member_by_name))
 
-    def test_it_lasts_in_the_store(self) -> None:
+    def test_round_trip_through_the_store(self) -> None:
         roster = Roster({}).with_listed((_entry("a", 1), _entry("b", 2)))
         read = Roster.from_value("g", roster.to_value())
         self.assertEqual(roster, read)
@@ -51,7 +51,7 @@
             with self.subTest(value):
                 self.assertEqual(Roster({}), Roster.from_value("g", value))
 
-    def test_who_is_gone(self) -> None:
+    def test_which_members_are_gone(self) -> None:
         cases = (
             ("drained", Absence(0.5, _DRAIN_S + 1.0), True),
             ("ended while draining", Absence(0.5, _DRAIN_S - 1.0), False),
@@ -62,7 +62,7 @@
             with self.subTest(name):
                 self.assertEqual(expected, is_gone(absence, _DRAIN_S))
 
-    def test_when_it_may_be_forgotten(self) -> None:
+    def test_when_a_member_may_be_removed(self) -> None:
         """Guards against promoting a replica that lacks confirmed commits.
 
         A member that had confirmed commits ends while one replica receives
--- a/redwingpost/takeover/tests/test_takeover.py
+++ b/redwingpost/takeover/tests/test_takeover.py
@@ -48,7 +48,7 @@
 
 
 class ReasonTest(TestCase):
-    def test_when_to_act(self) -> None:
+    def test_reasons_for_a_takeover(self) -> None:
         silent = _HEALTHY._replace(silent_s=1.2, others_silent_s=(0.9, 1.0))
         cases = (
             ("healthy", _HEALTHY, None),
@@ -156,7 +156,7 @@
 
 
 class PlanTest(TestCase):
-    def test_whom_to_choose(self) -> None:
+    def test_choice_of_the_replica(self) -> None:
         cases = (
             ("furthest", [("a", 5, {}), ("b", 7, {})], "b"),
             (
@@ -222,7 +222,7 @@
                 complete = is_complete(Position(3, chosen), statuses, floor)
                 self.assertEqual(expected, complete)
 
-    def test_a_pause_is_above_all_that_is_known(self) -> None:
+    def test_pause_term_is_above_all_known_terms(self) -> None:
         paused = StatusReport(False, 3, Position(3, 1), 6, 0, 0, 1)
         entry = MemberEntry("a", "g", "ip", 1, "a", False, False)
         statuses = (_status("b", 4, term=5), MemberStatus(entry, paused))
@@ -239,8 +239,8 @@
             )
             self.assertEqual(0.0, stalled_s)
 
-    def test_a_primary_that_goes_on_alone(self) -> None:
-        """The primary is partitioned from its replicas, accepts writes."""
+    def test_a_primary_without_replicas_is_stalled(self) -> None:
+        """The primary, partitioned from its replicas, still accepts writes."""
         detector = StallDetector()
         replicas = [Position(1, 9), Position(1, 9)]
         lengths = [
--- a/redwingpost/tests/test_testing.py
+++ b/redwingpost/tests/test_testing.py
@@ -14,7 +14,7 @@
 
 class KnownRedTest(TestCase):
     def test_what_the_list_holds(self) -> None:
-        """Guards against a fault that no test shows and that isn't printed."""
+        """Guards against known failures that are neither run nor printed."""
         with TemporaryDirectory() as folder:
             path = Path(folder) / "list"
             path.write_text(_LIST)
--- a/redwingpost/verify/tests/test_search.py
+++ b/redwingpost/verify/tests/test_search.py
@@ -30,7 +30,7 @@
     reported as not run although it ran.
     """
 
-    def test_no_promise_breaks(self):
+    def test_no_invariant_is_violated(self):
         table = [
             ("a keyed write, a promotion", Bounds(3, (1,), (True,), 1)),
             ("an unkeyed write, a promotion", Bounds(3, (1,), (False,), 2)),
@@ -60,7 +60,7 @@
 )
 
 
-class FateTest(TestCase):
+class WriteOutcomeTest(TestCase):
     """A write committed on a replaced primary; then a second promotion.
 
     The new term's history decides the write's outcome. Decided too early,
@@ -74,12 +74,12 @@
         state = replay(initial_state(bounds), model.steps, REPLACED)
         return search(state, model.steps, violation, limit)
 
-    def test_fate_is_decided_in_time(self):
+    def test_outcome_is_not_decided_too_early(self):
         found = self.check(Rules(), 60_000)
         print(f"searched {found.states} states: a replaced primary's write")
         self.assertEqual(found.violation, "", found.trace)
 
-    def test_unconfirmed_history_is_noticed(self):
+    def test_unconfirmed_history_is_detected(self):
         found = self.check(Rules(confirm_history=False), 60_000)
         self.assertTrue(found.violation)
 
--- a/redwingpost/verify/tests/test_takeover.py
+++ b/redwingpost/verify/tests/test_takeover.py
@@ -49,7 +49,7 @@
     that lacks an acknowledged one.
     """
 
-    def test_no_promise_breaks(self) -> None:
+    def test_no_invariant_is_violated(self) -> None:
         model = TakeoverModel(TakeoverRules())
         found = search(first_state(), model.steps, find_violation)
         print(f"searched {found.states} states: takeovers and reads")
@@ -90,7 +90,7 @@
         print(f"searched {found.states} states, not all: one comes back")
         self.assertEqual("", found.violation, found.trace)
 
-    def test_reads_stay_true_when_replicas_forget_a_pause(self) -> None:
+    def test_reads_are_correct_when_replicas_lose_a_pause(self) -> None:
         """A paused replica restarts and receives commits again.
 
         A commit that it confirms then may be lost with the old primary (the
@@ -102,7 +102,7 @@
         print(f"searched {found.states} states, not all: with a restart")
         self.assertEqual("", found.violation, found.trace)
 
-    def test_nothing_is_lost_whatever_else_happens(self) -> None:
+    def test_nothing_is_lost_with_partitions_or_restarts(self) -> None:
         """Members are partitioned together, restart, or are hidden.
 
         Two members behind one partition go on acknowledging commits. A
@@ -138,7 +138,7 @@
         print(f"searched {found.states} states, not all: acknowledgements")
         self.assertEqual("", found.violation, found.trace)
 
-    def test_reads_stay_true_when_a_replica_is_cut_off(self) -> None:
+    def test_reads_are_correct_when_a_replica_is_isolated(self) -> None:
         """Guards against a proof by a replica that missed a takeover."""
         model = TakeoverModel(TakeoverRules(), may_partition_replica=True)
         found = search(
@@ -216,7 +216,7 @@
                 found = search(first_state(), model.steps, _log_violation)
                 self.assertTrue(found.violation)
 
-    def test_asking_again_is_enough_until_the_order(self) -> None:
+    def test_repeated_pauses_suffice_until_the_order(self) -> None:
         faults = {
             "restarts": 1,
             "may_be_hidden": True,
--- a/redwingpost/verify/tests/test_walk.py
+++ b/redwingpost/verify/tests/test_walk.py
@@ -81,6 +81,6 @@
     def test_promises_hold(self):
         run_state_machine_as_test(Walk, settings=WALKS)
 
-    def test_a_broken_rule_is_noticed(self):
+    def test_a_broken_rule_is_detected(self):
         with self.assertRaises(AssertionError):
             run_state_machine_as_test(WithoutConfirm, settings=UNSHRUNK)
